--- a/src/actors/admission.ts
+++ b/src/actors/admission.ts
@@ -1,5 +1,5 @@
 /** Takes users' requests on the leader. */
-import { refuse } from '../core/fit.js';
+import { checkAdmission } from '../core/fit.js';
 import type { Job } from '../core/model.js';
 import type { State } from '../core/state.js';
 import type { Entry, JobId, JobSpec, Team } from '../core/types.js';
@@ -118,7 +118,7 @@
       return this.afterWrite(reply, () => this.submit(spec, reply));
     const known = this.standing(spec.id);
     if (known) return reply(known);
-    const no = refuse(spec, this.options.teams, this.state.types.values());
+    const no = checkAdmission(spec, this.options.teams, this.state.types.values());
     if (no) return reply(no.status === 503 ? later(no.reason) : { status: 422, body: { error: no.reason } });
     // What no record can hold would stop the pen for good.
     if (Buffer.byteLength(JSON.stringify(spec)) > this.options.valueKb * 1024 - 400)
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -157,7 +157,7 @@
   private async takeOver(): Promise<void> {
     const { clock, random, logger } = this.ports;
     const from = clock.steady();
-    await sleep(clock, random.below(60));
+    await sleep(clock, random.intBelow(60));
     const held = await this.lock.contend();
     if (!held) {
       logger.debug('the lock was not to be had');
--- a/src/actors/round.ts
+++ b/src/actors/round.ts
@@ -2,9 +2,9 @@
  * One round of decisions: what is stopped, started, rented and returned, from committed state and what the workers
  * were heard to do. Decides only; the leader writes the entries.
  */
-import { giveBack, rent, type CapacityInput } from '../core/capacity.js';
+import { planRentals, planReturns, type CapacityInput } from '../core/capacity.js';
 import { stopsForNotices, stopsOfBrokenGangs } from '../core/orderly-stops.js';
-import { claims } from '../core/claims.js';
+import { orderClaims } from '../core/claims.js';
 import type { Random } from '../core/fill.js';
 import { place, type PlacementResult } from '../core/placement.js';
 import type { Policy } from '../core/policy.js';
@@ -80,7 +80,7 @@
     const { state, workers } = this.options;
     const usable = [...state.machines.values()].filter((machine) => workers.intake.canTakeWork(machine));
     const stops = stopsForNotices(state, (machine) => workers.intake.noticeOf(machine) !== null);
-    const order = claims(
+    const order = orderClaims(
       state,
       this.teams,
       (job) => this.isTooLate(job, now),
@@ -99,8 +99,8 @@
         ...broken,
         ...placed.entries,
         ...preempted.entries,
-        ...rent(capacity),
-        ...giveBack(capacity),
+        ...planRentals(capacity),
+        ...planReturns(capacity),
       ],
       starts: placed.starts,
       usable: usable.length,
@@ -124,53 +124,61 @@
     return startedAt === null ? null : (this.options.clock.steady() - startedAt) / 1000;
   }
 
-  private place(order: ReturnType<typeof claims>, usable: Machine[], now: Wall): PlacementResult {
+  private place(order: ReturnType<typeof orderClaims>, usable: Machine[], now: Wall): PlacementResult {
     const { cloud, random, state, workers } = this.options;
     const placed = place({
       ...{ claims: order, state, teams: this.teams, now, random, usable },
-      sample: SAMPLE,
-      within: (name) => this.tightestAim.get(name) ?? 0,
-      fetching: (live) => workers.progress.fetches(live),
-      held: this.reserved,
-      rentable: (type, zone, spot) => !cloud.backoff(type, zone, spot),
-      most: MOST_STARTS,
+      sampleSize: SAMPLE,
+      completionObjectiveS: (name) => this.tightestAim.get(name) ?? 0,
+      isFetching: (live) => workers.progress.fetches(live),
+      reserved: this.reserved,
+      canRent: (type, zone, spot) => !cloud.backoff(type, zone, spot),
+      maxStarts: MOST_STARTS,
     });
-    this.reserved = placed.held;
+    this.reserved = placed.reserved;
     return placed;
   }
 
   private preempt(
-    order: ReturnType<typeof claims>,
+    order: ReturnType<typeof orderClaims>,
     usable: Machine[],
-    { unplaced, room, soon }: PlacementResult,
+    { unplaced, freeResources, releasingResources }: PlacementResult,
   ): PreemptionResult {
     return preempt({
-      ...{ claims: order, state: this.options.state, teams: this.teams, usable, unplaced, room, soon },
-      ran: (live) => this.secondsRun(live),
-      least: rank.high,
+      ...{
+        claims: order,
+        state: this.options.state,
+        teams: this.teams,
+        usable,
+        unplaced,
+        freeResources,
+        releasingResources,
+      },
+      secondsRun: (live) => this.secondsRun(live),
+      minRank: rank.high,
     });
   }
 
   private capacity(
     usable: Machine[],
-    { keep, room }: PlacementResult,
+    { retained, freeResources }: PlacementResult,
     unplaced: PlacementResult['unplaced'],
     now: Wall,
   ): CapacityInput {
     const { cloud, isOverdue, nextRentalName, policy, settings, state, workers } = this.options;
     return {
-      ...{ state, now, unplaced, usable, room, keep, policy },
+      ...{ state, now, unplaced, usable, freeResources, retained, policy },
       zones: settings.cluster.zones,
-      backoff: (type, zone, spot) => cloud.backoff(type, zone, spot),
-      nextName: nextRentalName,
-      remaining: (live) => {
+      isBackedOff: (type, zone, spot) => cloud.backoff(type, zone, spot),
+      nextRentalName,
+      secondsRemaining: (live) => {
         const run = this.secondsRun(live);
         return run === null || live.stop ? Infinity : live.job.spec.estimate - run;
       },
-      silent: (machine) => workers.intake.secondsSilent(machine),
-      deaf: this.mostAreQuiet(),
-      overdue: isOverdue,
-      within: (name) => this.tightestAim.get(name) ?? 0,
+      secondsSilent: (machine) => workers.intake.secondsSilent(machine),
+      mostAreSilent: this.mostAreQuiet(),
+      isOverdue,
+      completionObjectiveS: (name) => this.tightestAim.get(name) ?? 0,
       leaseS: settings.cluster.workers.lease_s,
     };
   }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -55,7 +55,7 @@
       store: new Store(call, settings.external.state),
       cloud: new Cloud(call, settings.external.cloud),
       call,
-      random: { below: (n) => uniformInt(rng, 0, n - 1) },
+      random: { intBelow: (n) => uniformInt(rng, 0, n - 1) },
       logger,
       settings,
       policy,
--- a/src/cli/policy.ts
+++ b/src/cli/policy.ts
@@ -73,7 +73,7 @@
   // A wrong name or type shows with any values; better at the start than in the night.
   value(none);
   value({ ...none, machine_spot: true });
-  const ofMachine = (m: Parameters<Policy['idle']>[0]): Vars => ({
+  const ofMachine = (m: Parameters<Policy['idleTimeoutS']>[0]): Vars => ({
     ...none,
     machine_type: m.type?.name ?? '',
     machine_zone: m.zone,
@@ -89,8 +89,8 @@
     job_checkpoint_s: s.checkpoint,
   });
   return {
-    idle: (m) => value(ofMachine(m)).idle_s ?? defaultPolicy.idle(m),
+    idleTimeoutS: (m) => value(ofMachine(m)).idle_s ?? defaultPolicy.idleTimeoutS(m),
     rentSpot: (s) => value(ofJob(s)).rent_spot ?? defaultPolicy.rentSpot(s),
-    silence: (m) => value(ofMachine(m)).silence_s ?? defaultPolicy.silence(m),
+    silenceTimeoutS: (m) => value(ofMachine(m)).silence_s ?? defaultPolicy.silenceTimeoutS(m),
   };
 }
--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -1,12 +1,12 @@
 import { chunked } from './chunked.js';
 import type { PlacementResult } from './placement.js';
-import { allowed, cannotRepeat, slots } from './rooms.js';
+import { meetsConstraints, isRestartCritical, slotCount } from './rooms.js';
 import type { Live, Machine } from './model.js';
 import type { State } from './state.js';
-import { fitsType, onlyTypes } from './fit.js';
+import { fitsType, soleFitTypes } from './fit.js';
 import { avoids } from './model.js';
 import type { Entry, MachineId, MachineType, Wall } from './types.js';
-import { add, fits, type Resources } from './resources.js';
+import { addTo, fits, type Resources } from './resources.js';
 import type { Policy } from './policy.js';
 import { rank } from './types.js';
 
@@ -16,23 +16,23 @@
   now: Wall;
   unplaced: PlacementResult['unplaced'];
   /** Until when no more is asked of a type, zone and kind that had none to give. */
-  backoff: (type: string, zone: string, spot: boolean) => boolean;
-  nextName: () => string;
+  isBackedOff: (type: string, zone: string, spot: boolean) => boolean;
+  nextRentalName: () => string;
   /** Machines that take work, and the room this round leaves on each. */
   usable: Machine[];
-  room: PlacementResult['room'];
+  freeResources: PlacementResult['freeResources'];
   /** Machines whose places are held: they are not idle. */
-  keep: PlacementResult['keep'];
+  retained: PlacementResult['retained'];
   /** Seconds in which jobs of a class should be done; 0 where their start is what counts. */
-  within: (c: string) => number;
+  completionObjectiveS: (c: string) => number;
   /** Seconds until a task is likely to be over. */
-  remaining: (l: Live) => number;
+  secondsRemaining: (l: Live) => number;
   /** Seconds without a report. */
-  silent: (m: Machine) => number;
+  secondsSilent: (m: Machine) => number;
   /** Most machines are silent at once. */
-  deaf: boolean;
+  mostAreSilent: boolean;
   /** A cancelled task that stops have not ended in time. */
-  overdue: (l: Live) => boolean;
+  isOverdue: (l: Live) => boolean;
   leaseS: number;
   policy: Policy;
 }
@@ -98,14 +98,15 @@
 const kindOf = (m: { type: string; zone: string; spot: boolean }): string => `${m.type}|${m.zone}|${m.spot}`;
 
 /** What to rent for the tasks that found no room, machines on their way counted first. */
-export function rent(input: CapacityInput): Entry[] {
+export function planRentals(input: CapacityInput): Entry[] {
   const { state, now, unplaced } = input;
   if (unplaced.length === 0) return [];
   const offers: { t: MachineType; zone: string; spot: boolean }[] = [];
   for (const t of state.types.values())
     for (const zone of t.zones)
       for (const spot of [true, false])
-        if (input.zones.includes(zone) && !input.backoff(t.name, zone, spot)) offers.push({ t, zone, spot });
+        if (input.zones.includes(zone) && !input.isBackedOff(t.name, zone, spot))
+          offers.push({ t, zone, spot });
   // On a day that takes all the cloud has there is nothing to count.
   if (offers.length === 0) return [];
   const bins: Bin[] = [];
@@ -141,19 +142,19 @@
   for (const m of patient ? input.usable : []) {
     const t = state.types.get(m.type);
     if (!t) continue;
-    const r = input.room(m);
-    for (const l of m.live) if (input.remaining(l) < Math.min(t.boot, 20)) add(r, l.job.spec);
+    const r = input.freeResources(m);
+    for (const l of m.live) if (input.secondsRemaining(l) < Math.min(t.boot, 20)) addTo(r, l.job.spec);
     if (fits(r, least))
       bins.push({ type: t, zone: m.zone, spot: m.spot, ...r, isNew: false, soon: m.id, count: 1 });
   }
   /** Puts up to so many tasks into equal bins; what is left of each stays for others. */
   const fill = (b: Bin, s: Resources, n: number): number => {
-    const per = slots(b, s);
+    const per = slotCount(b, s);
     if (per === 0 || b.count === 0 || n === 0) return 0;
     const split = (count: number, k: number): void => {
       if (count === 0) return;
       const rest = { ...b, count };
-      add(rest, s, -k);
+      addTo(rest, s, -k);
       b.count -= count;
       bins.push(rest);
     };
@@ -163,18 +164,18 @@
     if (odd > 0) split(1, odd);
     return full * per + odd;
   };
-  const scarce = onlyTypes(state);
+  const scarce = soleFitTypes(state);
   const rented = new Map<string, { of: Bin; n: number }>();
   for (const { job, tasks, zone } of unplaced) {
     const s = job.spec;
     const types = [...state.types.values()].filter((t) => fitsType(s, t));
     const waits = rank[s.priority] < rank.high;
-    const fragile = cannotRepeat(job, now, input.within(s.class));
+    const fragile = isRestartCritical(job, now, input.completionObjectiveS(s.class));
     const may = (b: Bin): boolean =>
       b.count > 0 &&
       (b.soon === null || (waits && !avoids(job, b.soon))) &&
       fits(b, s) &&
-      allowed(job, { type: b.type.name, zone: b.zone, spot: b.spot });
+      meetsConstraints(job, { type: b.type.name, zone: b.zone, spot: b.spot });
     const onSpot = s.spot && input.policy.rentSpot(s);
     const kinds = (z: string | null): { t: MachineType; zone: string; spot: boolean; c: number }[] =>
       offers
@@ -186,7 +187,7 @@
             (onSpot || !o.spot),
         )
         .map((o) => {
-          const per = Math.max(1, Math.min(tasks, slots(o.t, s)));
+          const per = Math.max(1, Math.min(tasks, slotCount(o.t, s)));
           const c = (priceOf(o.t, o.spot) / per) * (1 + o.t.boot / 600);
           // What only this type can hold should find some of it; a gang loses with any one of its
           // machines what all of them did.
@@ -206,7 +207,7 @@
       // All of one zone or nothing: the zone that has most of it on its way, if it can give the rest.
       const on = new Map<string, number>();
       for (const b of bins)
-        if (may(b)) on.set(b.zone, (on.get(b.zone) ?? 0) + Math.min(left, b.count * slots(b, s)));
+        if (may(b)) on.set(b.zone, (on.get(b.zone) ?? 0) + Math.min(left, b.count * slotCount(b, s)));
       const can = new Set(kinds(null).map((k) => k.zone));
       const zones = [...new Set([...on.keys(), ...can])];
       const worth = (x: string): number => {
@@ -226,7 +227,7 @@
     if (left === 0) continue;
     const pick = kinds(z)[0];
     if (!pick) continue;
-    const per = slots(pick.t, s);
+    const per = slotCount(pick.t, s);
     const n = Math.ceil(left / per);
     const b = group(pick.t, pick.zone, pick.spot, true, n);
     fill(b, s, left);
@@ -240,7 +241,7 @@
     for (let left = Math.min(n, MOST_RENTED); left > 0; left -= 50)
       out.push({
         e: 'hire',
-        name: input.nextName(),
+        name: input.nextRentalName(),
         type: b.type.name,
         zone: b.zone,
         spot: b.spot,
@@ -254,7 +255,7 @@
 const MOST_RENTED = 150;
 
 /** Machines to give back: silent, never up, set aside or idle for too long. */
-export function giveBack(input: CapacityInput): Entry[] {
+export function planReturns(input: CapacityInput): Entry[] {
   const { state, now } = input;
   const by = new Map<string, MachineId[]>();
   const add = (why: string, m: Machine): void => {
@@ -270,20 +271,20 @@
       if (boots.neverUp(m)) add('never up', m);
       continue;
     }
-    const silent = input.silent(m);
+    const silent = input.secondsSilent(m);
     // When most are silent at once, the way to them may be what is broken; but past their lease
     // nothing is left on them that waiting could save.
-    const most = input.deaf
-      ? Math.max(input.policy.silence(of), input.leaseS * 1.25 + 3)
-      : input.policy.silence(of);
+    const most = input.mostAreSilent
+      ? Math.max(input.policy.silenceTimeoutS(of), input.leaseS * 1.25 + 3)
+      : input.policy.silenceTimeoutS(of);
     if (silent > most) add('silent', m);
-    else if (m.stopping > 0 && [...m.live].some(input.overdue)) add('withdrawn', m);
+    else if (m.stopping > 0 && [...m.live].some(input.isOverdue)) add('withdrawn', m);
     else if (m.errors >= 2) add('faulty', m);
     else if (
       m.live.size === 0 &&
-      !input.keep.has(m) &&
+      !input.retained.has(m) &&
       now - m.hiredAt > 50_000 &&
-      now - m.idleSince > input.policy.idle(of) * 1000
+      now - m.idleSince > input.policy.idleTimeoutS(of) * 1000
     )
       add('idle', m);
   }
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -12,7 +12,7 @@
  * Jobs in order of their claim: guarantees first, then what never got a place, then priority, then
  * those that can still be in time, then age.
  */
-export function claims(
+export function orderClaims(
   state: State,
   teams: readonly Team[],
   /** Jobs that will miss their aim whatever is done now. */
@@ -44,7 +44,7 @@
 }
 
 /** How many more tasks of the job its team's limit allows; all that may be anywhere counts. */
-export function limitRoom(job: Job, team: Team, use: { cpus: number; gpus: number }): number {
+export function tasksWithinLimit(job: Job, team: Team, use: { cpus: number; gpus: number }): number {
   const s = job.spec;
   const c = s.cpus > 0 ? Math.floor((team.cpusMax - use.cpus + EPS) / s.cpus) : Infinity;
   const g = s.gpus > 0 ? Math.floor((team.gpusMax - use.gpus + EPS) / s.gpus) : Infinity;
--- a/src/core/fit.ts
+++ b/src/core/fit.ts
@@ -14,7 +14,7 @@
 }
 
 /** Types that are the only one for some unfinished job, though others have a choice. */
-export function onlyTypes(state: State): Set<string> {
+export function soleFitTypes(state: State): Set<string> {
   const out = new Set<string>();
   if (state.types.size < 2) return out;
   const types = [...state.types.values()];
@@ -29,7 +29,11 @@
 export type Refusal = { status: 422 | 503; reason: string };
 
 /** Why a job can never run, or can't be judged yet; null when it can be taken. */
-export function refuse(spec: JobSpec, teams: readonly Team[], types: Iterable<MachineType>): Refusal | null {
+export function checkAdmission(
+  spec: JobSpec,
+  teams: readonly Team[],
+  types: Iterable<MachineType>,
+): Refusal | null {
   const team = teams.find((t) => t.name === spec.team);
   if (!team) return { status: 422, reason: 'unknown team' };
   const known = [...types];
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,17 +1,17 @@
 /** One round of starts: best fit in a sample of machines, then in all of them; gangs whole or not at all. */
 import { chunked } from './chunked.js';
-import { limitRoom, type Claim } from './claims.js';
-import { fill, type Random, type Share } from './fill.js';
-import { fitsType, onlyTypes } from './fit.js';
+import { tasksWithinLimit, type Claim } from './claims.js';
+import { allocate, type Allocation, type Random } from './fill.js';
+import { fitsType, soleFitTypes } from './fit.js';
 import { avoids, type Job, type Live, type Machine } from './model.js';
 import { reserve } from './reserve.js';
-import { add, fits, plus, type Resources } from './resources.js';
-import { allowed, cannotRepeat, disturbs, hasImage, InVain, needsAll, slots, where } from './rooms.js';
-import type { Room } from './rooms.js';
+import { addTo, fits, sumOf, type Resources } from './resources.js';
+import { constraintKey, delaysGangFetch, hasImage, InfeasibleRequests, isMultiTaskGang } from './rooms.js';
+import { isRestartCritical, meetsConstraints, slotCount, type Candidate } from './rooms.js';
 import type { State } from './state.js';
 import { EPS, type Entry, type MachineId, type Team, type Wall } from './types.js';
 import { countWaiting, waitingTasks } from './waiting-tasks.js';
-import { tasksPerZone, zonesFor } from './zones.js';
+import { candidateZones, tasksPerZone } from './zones.js';
 
 export interface PlacementInput {
   state: State;
@@ -19,19 +19,19 @@
   teams: readonly Team[];
   now: Wall;
   random: Random;
-  sample: number;
+  sampleSize: number;
   /** Machines whose workers reported lately and that may take work. */
   usable: Machine[];
   /** Seconds in which jobs of a class should be done; 0 where their start is what counts. */
-  within: (c: string) => number;
+  completionObjectiveS: (c: string) => number;
   /** Whether a task still waits for its image. */
-  fetching: (l: Live) => boolean;
+  isFetching: (l: Live) => boolean;
   /** Whether more of a type, zone and kind may be had. */
-  rentable: (type: string, zone: string, spot: boolean) => boolean;
+  canRent: (type: string, zone: string, spot: boolean) => boolean;
   /** Machines that the last round held or emptied for a gang: other work goes elsewhere if it can. */
-  held: ReadonlySet<Machine>;
+  reserved: ReadonlySet<Machine>;
   /** At most this many starts in one round. */
-  most: number;
+  maxStarts: number;
 }
 
 /** Tasks of one job that found no room. */
@@ -49,12 +49,12 @@
   /** Job by job in order of claim. */
   unplaced: Unplaced[];
   /** Machines that are not idle though they look so: work starts there, or places are held. */
-  keep: Set<Machine>;
+  retained: Set<Machine>;
   /** Those of them that wait for a gang. */
-  held: Set<Machine>;
-  room: (m: Machine) => Resources;
+  reserved: Set<Machine>;
+  freeResources: (m: Machine) => Resources;
   /** What tasks that are being stopped will add to it. */
-  soon: (m: Machine) => Resources;
+  releasingResources: (m: Machine) => Resources;
 }
 
 const NONE: Resources = Object.freeze({ cpus: 0, gpus: 0, mem: 0 });
@@ -66,17 +66,18 @@
 export const place = (input: PlacementInput): PlacementResult => new PlacementRound(input).run();
 
 const kindOf = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
-const countOf = (shares: readonly Share[]): number => shares.reduce((sum, share) => sum + share.n, 0);
+const countOf = (shares: readonly Allocation[]): number =>
+  shares.reduce((sum, share) => sum + share.taskCount, 0);
 
 class PlacementRound {
-  private readonly rooms: Room[];
-  private readonly roomOf: ReadonlyMap<MachineId, Room>;
+  private readonly rooms: Candidate[];
+  private readonly roomOf: ReadonlyMap<MachineId, Candidate>;
   /** Rooms with something free. Work follows what has room: on a busy day few machines do. */
-  private free: Room[];
+  private free: Candidate[];
   /** Rooms in which tasks are being stopped. */
-  private readonly freeing: Room[];
+  private readonly freeing: Candidate[];
   /** Needs that found no machine at all this round. */
-  private readonly noRoom = new InVain();
+  private readonly noRoom = new InfeasibleRequests();
   private readonly use: Map<string, { cpus: number; gpus: number }>;
   /** Machines that take work, by type, zone and kind. */
   private readonly machines = new Map<string, number>();
@@ -90,11 +91,11 @@
 
   constructor(private readonly input: PlacementInput) {
     this.rooms = roomsOf(input);
-    this.roomOf = new Map(this.rooms.map((room) => [room.m.id, room]));
+    this.roomOf = new Map(this.rooms.map((room) => [room.machine.id, room]));
     this.free = this.rooms.filter((room) => room.cpus > EPS);
-    this.freeing = this.rooms.filter((room) => room.soon.cpus > EPS);
+    this.freeing = this.rooms.filter((room) => room.releasing.cpus > EPS);
     this.use = new Map([...input.state.teamUse].map(([team, used]) => [team, { ...used }]));
-    for (const { m } of this.rooms) {
+    for (const { machine: m } of this.rooms) {
       const kind = kindOf(m.type, m.zone, m.spot);
       this.machines.set(kind, (this.machines.get(kind) ?? 0) + 1);
     }
@@ -106,10 +107,10 @@
       entries: this.entries,
       starts: this.starts,
       unplaced: this.unplaced,
-      keep: new Set([...this.keep, ...this.waiting]),
-      held: this.waiting,
-      room: (machine) => plus(this.roomOf.get(machine.id) ?? NONE, NONE),
-      soon: (machine) => this.roomOf.get(machine.id)?.soon ?? NONE,
+      retained: new Set([...this.keep, ...this.waiting]),
+      reserved: this.waiting,
+      freeResources: (machine) => sumOf(this.roomOf.get(machine.id) ?? NONE, NONE),
+      releasingResources: (machine) => this.roomOf.get(machine.id)?.releasing ?? NONE,
     };
   }
 
@@ -119,7 +120,7 @@
     if (waiting === 0 || job.notBefore > this.input.now) return;
     const want = this.mayStart(job, waiting);
     if (want === 0) return;
-    const open = this.fitting(job).filter((room) => !disturbs(room, job));
+    const open = this.fitting(job).filter((room) => !delaysGangFetch(room, job));
     const shares = this.share(job, want, open);
     if (shares === null) return;
     if (shares.length > 0) this.start(job, want, shares);
@@ -131,9 +132,9 @@
   private keepPlaces(job: Job): void {
     for (const id of job.places) {
       const room = this.roomOf.get(id);
-      if (!room || !fits(room, job.spec) || !allowed(job, room.m)) continue;
-      add(room, job.spec, -1);
-      this.keep.add(room.m);
+      if (!room || !fits(room, job.spec) || !meetsConstraints(job, room.machine)) continue;
+      addTo(room, job.spec, -1);
+      this.keep.add(room.machine);
     }
   }
 
@@ -147,53 +148,53 @@
   private mayStart(job: Job, waiting: number): number {
     const { spec } = job;
     const team = this.input.teams.find((one) => one.name === spec.team)!;
-    const limit = limitRoom(job, team, this.useOf(spec.team));
+    const limit = tasksWithinLimit(job, team, this.useOf(spec.team));
     if (spec.gang && limit < waiting) return 0;
-    const want = Math.min(waiting, limit, Math.max(0, this.input.most - this.starts));
+    const want = Math.min(waiting, limit, Math.max(0, this.input.maxStarts - this.starts));
     return spec.gang && want < spec.tasks ? 0 : want;
   }
 
-  private mayTake(job: Job, room: Room): boolean {
-    return allowed(job, room.m) && !avoids(job, room.m.id);
+  private mayTake(job: Job, room: Candidate): boolean {
+    return meetsConstraints(job, room.machine) && !avoids(job, room.machine.id);
   }
 
-  private fitting(job: Job): Room[] {
+  private fitting(job: Job): Candidate[] {
     const { spec } = job;
-    if (this.noRoom.has(where(spec), spec)) return [];
+    if (this.noRoom.has(constraintKey(spec), spec)) return [];
     const fitting = this.free.filter((room) => fits(room, spec) && this.mayTake(job, room));
-    if (fitting.length === 0 && job.errorMachines.size === 0) this.noRoom.add(where(spec), spec);
+    if (fitting.length === 0 && job.errorMachines.size === 0) this.noRoom.add(constraintKey(spec), spec);
     return fitting;
   }
 
   /** Places for a job's tasks, taken from their rooms; null when it may not be placed at all now. */
-  private share(job: Job, want: number, open: Room[]): Share[] | null {
-    const { now, random, sample, within } = this.input;
+  private share(job: Job, want: number, open: Candidate[]): Allocation[] | null {
+    const { now, random, sampleSize: sample, completionObjectiveS: within } = this.input;
     const { spec } = job;
-    const fragile = cannotRepeat(job, now, within(spec.class));
+    const fragile = isRestartCritical(job, now, within(spec.class));
     const perZone = tasksPerZone(job);
-    const zones = zonesFor(job, perZone, open, fragile);
+    const zones = candidateZones(job, perZone, open, fragile);
     if (zones === null) return null;
     const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
     const zoneLeft = (zone: string): number => zoneMost - (perZone.get(zone) ?? 0);
     for (const zone of zones) {
-      const pool = zone === null ? open : open.filter((room) => room.m.zone === zone);
-      const shares = fill(pool, job, want, sample, random, fragile, zoneLeft);
+      const pool = zone === null ? open : open.filter((room) => room.machine.zone === zone);
+      const shares = allocate(pool, job, want, sample, random, fragile, zoneLeft);
       // A gang goes whole or not at all; a one-zone array takes the zone that has room.
       if (shares.length > 0 && (!spec.gang || countOf(shares) === want)) return shares;
-      for (const { r: room, n } of shares) add(room, spec, n);
+      for (const { candidate: room, taskCount: n } of shares) addTo(room, spec, n);
     }
     return [];
   }
 
-  private start(job: Job, want: number, shares: Share[]): void {
+  private start(job: Job, want: number, shares: Allocation[]): void {
     const { spec } = job;
     const tasks: [number, number][] = spec.gang
       ? Array.from({ length: spec.tasks }, (_, task) => [task, job.gangTry])
       : waitingTasks(job, want);
     const placed: [number, number, MachineId][] = [];
-    for (const { r: room, n } of shares) {
+    for (const { candidate: room, taskCount: n } of shares) {
       this.noteStart(room, job);
-      for (let i = 0; i < n; i++) placed.push([...tasks[placed.length]!, room.m.id]);
+      for (let i = 0; i < n; i++) placed.push([...tasks[placed.length]!, room.machine.id]);
     }
     const used = this.useOf(spec.team);
     used.cpus += spec.cpus * placed.length;
@@ -204,26 +205,26 @@
     this.free = this.free.filter((room) => room.cpus > EPS);
   }
 
-  private noteStart(room: Room, job: Job): void {
+  private noteStart(room: Candidate, job: Job): void {
     if (!hasImage(room, job)) {
-      room.pulls.set(job.spec.image, job.spec.imageGb / room.fetch);
-      room.gangPulls ||= needsAll(job.spec);
+      room.fetches.set(job.spec.image, job.spec.imageGb / room.fetchRate);
+      room.isGangFetching ||= isMultiTaskGang(job.spec);
     }
-    room.awake = true;
+    room.isOccupied = true;
     // Guards against giving a machine back in the round that gives it work.
-    this.keep.add(room.m);
+    this.keep.add(room.machine);
   }
 
   /** Room that is being made for this claim is not left to a lesser one meanwhile. */
-  private reserveFor(job: Job, left: number, open: Room[], guaranteed: boolean): void {
+  private reserveFor(job: Job, left: number, open: Candidate[], guaranteed: boolean): void {
     const { state, now } = this.input;
     const { spec } = job;
     // One gang at a time: machines that stand half empty for all of them would serve none.
     const drains = spec.gang && !this.isDraining && now - job.at > DRAIN_AFTER_S * 1000;
     this.isDraining ||= drains;
-    const mine = (room: Room): boolean => this.mayTake(job, room);
-    const drainable = (room: Room): boolean => {
-      const type = state.types.get(room.m.type);
+    const mine = (room: Candidate): boolean => this.mayTake(job, room);
+    const drainable = (room: Candidate): boolean => {
+      const type = state.types.get(room.machine.type);
       return mine(room) && type !== undefined && fitsType(spec, type);
     };
     const reserved = reserve(
@@ -246,34 +247,34 @@
     for (const type of this.input.state.types.values()) {
       if (!fitsType(job.spec, type) || !type.zones.includes(zone)) continue;
       for (const spot of [true, false]) {
-        if (!allowed(job, { type: type.name, zone, spot })) continue;
-        if (this.input.rentable(type.name, zone, spot)) return Infinity;
-        tasks += slots(type, job.spec) * (this.machines.get(kindOf(type.name, zone, spot)) ?? 0);
+        if (!meetsConstraints(job, { type: type.name, zone, spot })) continue;
+        if (this.input.canRent(type.name, zone, spot)) return Infinity;
+        tasks += slotCount(type, job.spec) * (this.machines.get(kindOf(type.name, zone, spot)) ?? 0);
       }
     }
     return tasks;
   }
 }
 
-function roomsOf(input: PlacementInput): Room[] {
-  const scarce = onlyTypes(input.state);
-  const rooms: Room[] = [];
+function roomsOf(input: PlacementInput): Candidate[] {
+  const scarce = soleFitTypes(input.state);
+  const rooms: Candidate[] = [];
   for (const machine of input.usable) {
     const type = input.state.types.get(machine.type);
     if (!type) continue;
-    const room: Room = {
-      m: machine,
+    const room: Candidate = {
+      machine,
       cpus: type.cpus - machine.cpus,
       gpus: type.gpus - machine.gpus,
       mem: type.mem - machine.mem,
-      pulls: new Map(),
-      gangPulls: false,
-      soon: machine.stopping > 0 ? { cpus: 0, gpus: 0, mem: 0 } : NONE,
-      fetch: type.fetch,
-      total: type.cpus,
-      scarce: scarce.has(type.name),
-      held: input.held.has(machine),
-      awake: machine.live.size > 0,
+      fetches: new Map(),
+      isGangFetching: false,
+      releasing: machine.stopping > 0 ? { cpus: 0, gpus: 0, mem: 0 } : NONE,
+      fetchRate: type.fetch,
+      totalCpus: type.cpus,
+      isSoleFit: scarce.has(type.name),
+      isReserved: input.reserved.has(machine),
+      isOccupied: machine.live.size > 0,
     };
     // Work follows what has room or will have: the tasks of all other machines are not looked at.
     if (machine.stopping > 0 || machine.cpus + EPS < type.cpus) noteTasks(room, input);
@@ -283,13 +284,13 @@
 }
 
 /** What the tasks on a machine will leave, and what they fetch. */
-function noteTasks(room: Room, { fetching, now }: PlacementInput): void {
-  for (const live of room.m.live) {
+function noteTasks(room: Candidate, { isFetching: fetching, now }: PlacementInput): void {
+  for (const live of room.machine.live) {
     const { spec } = live.job;
-    if (live.stop) add(room.soon, spec);
+    if (live.stop) addTo(room.releasing, spec);
     else if (fetching(live)) {
-      room.pulls.set(spec.image, Math.max(1, spec.imageGb / room.fetch - (now - live.at) / 1000));
-      room.gangPulls ||= needsAll(spec);
+      room.fetches.set(spec.image, Math.max(1, spec.imageGb / room.fetchRate - (now - live.at) / 1000));
+      room.isGangFetching ||= isMultiTaskGang(spec);
     }
   }
 }
--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -3,15 +3,15 @@
 /** What operators may set beyond the platform's file. */
 export interface Policy {
   /** Seconds that a machine may have nothing to do before it is given back. */
-  idle(m: { zone: string; spot: boolean; type: MachineType | undefined }): number;
+  idleTimeoutS(m: { zone: string; spot: boolean; type: MachineType | undefined }): number;
   /** Whether spot machines are rented for a job that allows them. */
   rentSpot(s: JobSpec): boolean;
   /** Seconds without a report after which a machine is given back. */
-  silence(m: { zone: string; spot: boolean; type: MachineType | undefined }): number;
+  silenceTimeoutS(m: { zone: string; spot: boolean; type: MachineType | undefined }): number;
 }
 
 export const defaultPolicy: Policy = {
-  idle: (m) => (m.spot ? 40 : 15),
+  idleTimeoutS: (m) => (m.spot ? 40 : 15),
   rentSpot: () => true,
-  silence: () => 11,
+  silenceTimeoutS: () => 11,
 };
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -1,8 +1,8 @@
 import { chunked } from './chunked.js';
 import type { Claim } from './claims.js';
 import type { PlacementResult } from './placement.js';
-import { allowed, InVain, where } from './rooms.js';
-import { add, fits, plus, type Resources } from './resources.js';
+import { meetsConstraints, InfeasibleRequests, constraintKey } from './rooms.js';
+import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { fitsType } from './fit.js';
 import { avoids, type Job, type Live, type Machine } from './model.js';
 import type { State } from './state.js';
@@ -16,12 +16,12 @@
   usable: Machine[];
   unplaced: PlacementResult['unplaced'];
   /** Rooms as this round's own starts leave them. */
-  room: PlacementResult['room'];
-  soon: PlacementResult['soon'];
+  freeResources: PlacementResult['freeResources'];
+  releasingResources: PlacementResult['releasingResources'];
   /** Seconds since the task was first shown running; null before that. */
-  ran: (l: Live) => number | null;
+  secondsRun: (l: Live) => number | null;
   /** Only claims of at least this rank stop the work of a lower one. */
-  least: number;
+  minRank: number;
 }
 
 export interface PreemptionResult {
@@ -61,16 +61,19 @@
     const a = order.get(job);
     const b = order.get(v);
     if (!a || !b || b.at <= a.at || (v.spec.gang && v.spec.tasks > 1)) return false;
-    if (rank[v.spec.priority] < rank[job.spec.priority] && rank[job.spec.priority] >= input.least)
+    if (rank[v.spec.priority] < rank[job.spec.priority] && rank[job.spec.priority] >= input.minRank)
       return true;
     return guaranteed && !b.guaranteed && v.spec.team !== job.spec.team && beyond.has(v.spec.team);
   };
-  const soon: Soon[] = input.usable.map((m) => ({ m, ...plus(input.room(m), input.soon(m)) }));
+  const soon: Soon[] = input.usable.map((m) => ({
+    m,
+    ...sumOf(input.freeResources(m), input.releasingResources(m)),
+  }));
   const running = input.claims.filter((c) => c.job.live.size > 0);
   // Where nothing is being stopped there is no more room than the round has just sought in vain.
-  const freeing = soon.filter((r) => input.soon(r.m).cpus > EPS);
+  const freeing = soon.filter((r) => input.releasingResources(r.m).cpus > EPS);
   /** Needs of like claims that nothing helped: a later one of the kind may stop no more than they. */
-  const inVain = new InVain();
+  const inVain = new InfeasibleRequests();
   const victims = new Map<Job, Set<number>>();
   const chosen = new Set<Live>();
   const left: PlacementResult['unplaced'] = [];
@@ -79,7 +82,7 @@
     const { job } = u;
     const s = job.spec;
     const lesser = new Set<Job>();
-    const kind = `${s.team}|${s.priority}|${u.guaranteed}|${where(s)}`;
+    const kind = `${s.team}|${s.priority}|${u.guaranteed}|${constraintKey(s)}`;
     if (inVain.has(kind, s)) {
       left.push(u);
       continue;
@@ -96,10 +99,10 @@
       for (const l of r.m.live) {
         if (l.stop || !lesser.has(l.job) || chosen.has(l)) continue;
         lower.push(l);
-        add(got, l.job.spec);
+        addTo(got, l.job.spec);
       }
       if (!fits(got, s)) return null;
-      const stoppable = lower.map((l) => ({ l, cost: loss(l, input.ran(l)) }));
+      const stoppable = lower.map((l) => ({ l, cost: loss(l, input.secondsRun(l)) }));
       stoppable.sort((a, b) => a.cost / a.l.job.spec.cpus - b.cost / b.l.job.spec.cpus);
       Object.assign(got, { cpus: r.cpus, gpus: r.gpus, mem: r.mem });
       const v: Live[] = [];
@@ -108,7 +111,7 @@
         if (fits(got, s)) break;
         v.push(x.l);
         sum += x.cost;
-        add(got, x.l.job.spec);
+        addTo(got, x.l.job.spec);
       }
       return { r, v, cost: sum };
     };
@@ -120,7 +123,7 @@
       .filter(
         (r) =>
           types.has(r.m.type) &&
-          allowed(job, r.m) &&
+          meetsConstraints(job, r.m) &&
           !avoids(job, r.m.id) &&
           (zone === null || r.m.zone === zone),
       )
@@ -133,9 +136,9 @@
       for (let p: typeof first | null = first; p && missing > 0; p = cost(first.r)) {
         for (const l of p.v) {
           chosen.add(l);
-          add(p.r, l.job.spec);
+          addTo(p.r, l.job.spec);
         }
-        add(p.r, s, -1);
+        addTo(p.r, s, -1);
         picks.push(p);
         missing--;
         if (s.oneZone) zone ??= p.r.m.zone;
@@ -144,10 +147,10 @@
     if (missing > 0 && s.gang) {
       // Half a gang is none: what was taken for it is given back.
       for (const p of picks) {
-        add(p.r, s);
+        addTo(p.r, s);
         for (const l of p.v) {
           chosen.delete(l);
-          add(p.r, l.job.spec, -1);
+          addTo(p.r, l.job.spec, -1);
         }
       }
       left.push(u);
--- a/src/core/resources.ts
+++ b/src/core/resources.ts
@@ -11,13 +11,13 @@
   room.cpus + EPS >= need.cpus && room.gpus + EPS >= need.gpus && room.mem + EPS >= need.mem;
 
 /** Adds to a room, n times over; a negative n takes from it. */
-export function add(room: Resources, what: Resources, n = 1): void {
+export function addTo(room: Resources, what: Resources, n = 1): void {
   room.cpus += n * what.cpus;
   room.gpus += n * what.gpus;
   room.mem += n * what.mem;
 }
 
-export const plus = (a: Resources, b: Resources): Resources => ({
+export const sumOf = (a: Resources, b: Resources): Resources => ({
   cpus: a.cpus + b.cpus,
   gpus: a.gpus + b.gpus,
   mem: a.mem + b.mem,
--- a/src/core/zones.ts
+++ b/src/core/zones.ts
@@ -1,6 +1,6 @@
 /** In which zones a job's tasks are, and may go. */
 import type { Job } from './model.js';
-import { score, slots, type Room } from './rooms.js';
+import { placementCost, slotCount, type Candidate } from './rooms.js';
 
 /** Of zones for a one-zone job, one place more outweighs any score of machines. */
 const PLACE_WEIGHT = 2000;
@@ -18,10 +18,10 @@
  * The zones to try, the best first; [null] is all of them together.
  * Guards wrong_place: tasks of a one-zone job stay with those that may still run. Null: they are in two already.
  */
-export function zonesFor(
+export function candidateZones(
   job: Job,
   perZone: ReadonlyMap<string, number>,
-  open: Room[],
+  open: Candidate[],
   fragile: boolean,
 ): (string | null)[] | null {
   if (!job.spec.oneZone) return [null];
@@ -30,8 +30,8 @@
   if (present.length === 1) return present;
   const worth = new Map<string, number>();
   for (const room of open) {
-    const { zone } = room.m;
-    const here = PLACE_WEIGHT * slots(room, job.spec) - score(room, job, fragile);
+    const { zone } = room.machine;
+    const here = PLACE_WEIGHT * slotCount(room, job.spec) - placementCost(room, job, fragile);
     worth.set(zone, (worth.get(zone) ?? 0) + here);
   }
   return [...worth.keys()].sort((a, b) => worth.get(b)! - worth.get(a)!);
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -169,7 +169,7 @@
         store: new Store((_a, m, p, b, t) => call(address, m, p, b, t), address),
         cloud: new Cloud(call, 'cloud:1'),
         call,
-        random: { below: (n) => uniformInt(rng, 0, n - 1) },
+        random: { intBelow: (n) => uniformInt(rng, 0, n - 1) },
         logger: silent,
         settings: settingsFor(i, 3, this.site),
         policy: defaultPolicy,
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -2,7 +2,7 @@
 import { deflateSync } from 'node:zlib';
 import { LogActor } from '../src/actors/log.js';
 import { lines, pack, unpack } from '../src/actors/snapshot.js';
-import { giveBack, type CapacityInput } from '../src/core/capacity.js';
+import { planReturns, type CapacityInput } from '../src/core/capacity.js';
 import { dumpState } from '../src/core/state-dump.js';
 import { State } from '../src/core/state.js';
 import type { Entry, MachineId, Wall } from '../src/core/types.js';
@@ -63,13 +63,13 @@
     });
     const entries = [{ e: 'types', types: [box] } as Entry, ...Array.from({ length: 1000 }, (_, i) => up(i))];
     write(state, entries);
-    const drops = giveBack({
+    const drops = planReturns({
       state,
       now: 1e9 as Wall,
-      silent: () => 0,
-      deaf: false,
-      keep: new Set(),
-      policy: { idle: () => 1, silence: () => 11, rentSpot: () => true },
+      secondsSilent: () => 0,
+      mostAreSilent: false,
+      retained: new Set(),
+      policy: { idleTimeoutS: () => 1, silenceTimeoutS: () => 11, rentSpot: () => true },
     } as unknown as CapacityInput);
     expect(drops.flatMap((d) => (d.e === 'drop' ? d.m : [])).length).toBe(1000);
     for (const d of drops) expect(JSON.stringify(d).length).toBeLessThan(6000);
--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -5,9 +5,9 @@
 describe('a policy file', () => {
   it('sets what it names and leaves the rest', async () => {
     const p = await readPolicy('p.cel', '{\n  "idle_s": machine_spot ? 90.0 : machine_price * 10.0\n}');
-    expect(p.idle({ zone: 'a', spot: true, type: box })).toBe(90);
-    expect(p.idle({ zone: 'a', spot: false, type: box })).toBe(10);
-    expect(p.silence({ zone: 'a', spot: false, type: box })).toBe(11);
+    expect(p.idleTimeoutS({ zone: 'a', spot: true, type: box })).toBe(90);
+    expect(p.idleTimeoutS({ zone: 'a', spot: false, type: box })).toBe(10);
+    expect(p.silenceTimeoutS({ zone: 'a', spot: false, type: box })).toBe(11);
   });
 
   it('is refused with line, column and reason', async () => {
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { claims } from '../src/core/claims.js';
+import { orderClaims } from '../src/core/claims.js';
 import { place } from '../src/core/placement.js';
 import { preempt } from '../src/core/preemption.js';
 import { State } from '../src/core/state.js';
@@ -43,20 +43,20 @@
   write(entries);
   const round = (now = 1e6, fetching = false) => {
     const usable = [...state.machines.values()];
-    const order = claims(state, teams, () => false);
+    const order = orderClaims(state, teams, () => false);
     const placed = place({
       claims: order,
       state,
       teams,
       now: now as Wall,
-      random: { below: () => 0 },
-      sample: 5,
+      random: { intBelow: () => 0 },
+      sampleSize: 5,
       usable,
-      within: () => 0,
-      held: new Set(),
-      rentable: () => true,
-      fetching: () => fetching,
-      most: 100,
+      completionObjectiveS: () => 0,
+      reserved: new Set(),
+      canRent: () => true,
+      isFetching: () => fetching,
+      maxStarts: 100,
     });
     const p = preempt({
       claims: order,
@@ -64,10 +64,10 @@
       teams,
       usable,
       unplaced: placed.unplaced,
-      room: placed.room,
-      soon: placed.soon,
-      ran: () => 60,
-      least: rank.high,
+      freeResources: placed.freeResources,
+      releasingResources: placed.releasingResources,
+      secondsRun: () => 60,
+      minRank: rank.high,
     });
     write([...placed.entries, ...p.entries]);
     return { starts: placed.entries, stops: p.entries, left: p.unplaced };
