--- a/src/actors/admission.ts
+++ b/src/actors/admission.ts
@@ -1,8 +1,8 @@
 /** Takes users' requests on the leader. */
 import { checkAdmission } from '../core/fit.js';
 import type { Job } from '../core/model.js';
-import type { State } from '../core/state.js';
-import type { Entry, JobId, JobSpec, Team } from '../core/types.js';
+import type { ClusterState } from '../core/state.js';
+import type { LogEntry, JobId, JobSpec, Team } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import { writeStanding, type Standing } from '../wire/schemas.js';
 import { Actor } from './actor.js';
@@ -27,13 +27,13 @@
 });
 
 /** What the log says of a finished job is final, so any node may say it at any time. */
-export function finalAnswer(state: State, id: JobId): Reply | null {
-  const f = state.finals.get(id);
-  return f ? { status: 200, body: writeStanding(id, f.s, { done: f.done, running: 0 }) } : null;
+export function finalAnswer(state: ClusterState, id: JobId): Reply | null {
+  const f = state.outcomes.get(id);
+  return f ? { status: 200, body: writeStanding(id, f.state, { done: f.done, running: 0 }) } : null;
 }
 
 /** What the log says of a job; null when it knows no such job. */
-export function standing(state: State, id: JobId, runningOf: (job: Job) => number): Reply | null {
+export function standing(state: ClusterState, id: JobId, runningOf: (job: Job) => number): Reply | null {
   const f = finalAnswer(state, id);
   if (f) return f;
   const job = state.jobs.get(id);
@@ -46,7 +46,7 @@
 export const noSuchJob: Reply = { status: 404, body: { error: 'no such job' } };
 
 export interface AdmissionOptions {
-  state: State;
+  state: ClusterState;
   log: LogActor;
   clock: Clock;
   teams: readonly Team[];
@@ -74,7 +74,7 @@
   /** Requests that wait for the same record. */
   private readonly open = new Map<string, ((ok: boolean) => void)[]>();
 
-  private readonly state: State;
+  private readonly state: ClusterState;
   private readonly log: LogActor;
 
   constructor(private readonly options: AdmissionOptions) {
@@ -98,7 +98,7 @@
     if (f) return reply(f);
     // Guards forgotten and older answers: only a leader that holds its lock may say what can change.
     if (!this.options.isCertain()) return reply(later('not certain to lead'));
-    if (this.log.touches(id)) return this.afterWrite(reply, () => this.show(id, reply));
+    if (this.log.hasWriteInFlightFor(id)) return this.afterWrite(reply, () => this.show(id, reply));
     reply(this.standing(id) ?? noSuchJob);
   }
 
@@ -107,25 +107,27 @@
    * users, before its answer is here.
    */
   private afterWrite(reply: (r: Reply) => void, then: () => void): void {
-    void this.log.settled(SETTLE_MS).then((ok) => (ok ? then() : reply(later('a write is not answered'))));
+    void this.log
+      .whenSettled(SETTLE_MS)
+      .then((ok) => (ok ? then() : reply(later('a write is not answered'))));
   }
 
   private submit(spec: JobSpec, reply: (r: Reply) => void): void {
     const f = finalAnswer(this.state, spec.id);
     if (f) return reply(f);
     if (!this.options.isCertain()) return reply(later('not certain to lead'));
-    if (this.log.touches(spec.id) && !this.open.has(`s ${spec.id}`))
+    if (this.log.hasWriteInFlightFor(spec.id) && !this.open.has(`s ${spec.id}`))
       return this.afterWrite(reply, () => this.submit(spec, reply));
     const known = this.standing(spec.id);
     if (known) return reply(known);
-    const no = checkAdmission(spec, this.options.teams, this.state.types.values());
+    const no = checkAdmission(spec, this.options.teams, this.state.machineTypes.values());
     if (no) return reply(no.status === 503 ? later(no.reason) : { status: 422, body: { error: no.reason } });
     // What no record can hold would stop the pen for good.
     if (Buffer.byteLength(JSON.stringify(spec)) > this.options.valueKb * 1024 - 400)
       return reply({ status: 400, body: { error: 'the description is too long to be kept' } });
     this.write(`s ${spec.id}`, { e: 'job', spec }, reply, () => ({
       ...(this.standing(spec.id) ?? later('not written')),
-      status: this.state.jobs.has(spec.id) || this.state.finals.has(spec.id) ? 201 : 503,
+      status: this.state.jobs.has(spec.id) || this.state.outcomes.has(spec.id) ? 201 : 503,
     }));
   }
 
@@ -145,10 +147,10 @@
     );
   }
 
-  private write(key: string, entry: Entry, reply: (r: Reply) => void, then: () => Reply): void {
+  private write(key: string, entry: LogEntry, reply: (r: Reply) => void, then: () => Reply): void {
     // What can't be written soon is refused at once: the user is told when to come back.
-    if (this.log.stuckMs > STUCK_MS) return reply(later('the state service does not answer'));
-    if (this.log.pending > QUEUE_MOST) return reply(later('too much at once', 2, 429));
+    if (this.log.unansweredWriteMs > STUCK_MS) return reply(later('the state service does not answer'));
+    if (this.log.pendingUrgent > QUEUE_MOST) return reply(later('too much at once', 2, 429));
     let answered = false;
     const end = (r: Reply): void => {
       if (answered) return;
@@ -166,7 +168,7 @@
     this.log.tell({
       entries: [entry],
       urgent: true,
-      done: (ok) => {
+      onSettled: (ok) => {
         this.open.delete(key);
         if (entry.e === 'withdraw') this.options.onCancelling(entry.job, false);
         for (const d of list) d(ok);
--- a/src/actors/cloud.ts
+++ b/src/actors/cloud.ts
@@ -1,7 +1,7 @@
 import { chunked } from '../core/chunked.js';
 import type { Machine } from '../core/model.js';
-import type { State } from '../core/state.js';
-import type { MachineId, MachineType, Steady } from '../core/types.js';
+import type { ClusterState } from '../core/state.js';
+import type { MachineId, MachineType, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { Cloud } from '../wire/cloud.js';
@@ -21,17 +21,17 @@
 export class CloudActor extends Actor<CloudMessage> {
   private readonly renting = new Set<string>();
   private readonly returning = new Set<MachineId>();
-  private readonly dry = new Map<string, { until: Steady; pause: number }>();
+  private readonly dry = new Map<string, { until: SteadyMs; pause: number }>();
   private readonly calls: TokenBucket;
   private listedAt = -Infinity;
   private listing = false;
   private typesAt = -Infinity;
   private typing = false;
   private notBefore = -Infinity;
-  private readonly strays = new Map<MachineId, Steady>();
+  private readonly strays = new Map<MachineId, SteadyMs>();
 
   constructor(
-    private readonly state: State,
+    private readonly state: ClusterState,
     private readonly cloud: Cloud,
     private readonly log: LogActor,
     private readonly clock: Clock,
@@ -62,7 +62,7 @@
     if (!this.certain()) return;
     this.giveBack([...this.state.machines.values()].filter((x) => x.drop));
     this.rent();
-    if ((this.state.types.size === 0 || now - this.typesAt > 60_000) && !this.typing && this.spend())
+    if ((this.state.machineTypes.size === 0 || now - this.typesAt > 60_000) && !this.typing && this.spend())
       void this.readTypes();
     if (now - this.listedAt > 4000 && !this.listing && this.spend()) void this.list();
   }
@@ -80,12 +80,15 @@
     this.typesAt = this.clock.steady();
     const same = (a: MachineType | undefined, b: MachineType): boolean =>
       a !== undefined && JSON.stringify(a) === JSON.stringify(b);
-    if (types.length !== this.state.types.size || types.some((t) => !same(this.state.types.get(t.name), t)))
+    if (
+      types.length !== this.state.machineTypes.size ||
+      types.some((t) => !same(this.state.machineTypes.get(t.name), t))
+    )
       this.log.tell({ entries: [{ e: 'types', types }] });
   }
 
   private rent(): void {
-    for (const h of this.state.hires.values()) {
+    for (const h of this.state.pendingRentals.values()) {
       if (this.renting.has(h.name) || !this.spend()) continue;
       this.renting.add(h.name);
       void this.cloud.hire(h).then((r) => {
@@ -99,12 +102,12 @@
         const key = place(h.type, h.zone, h.spot);
         if (machines.length < h.n) {
           const pause = Math.min(30_000, (this.dry.get(key)?.pause ?? 4000) * 1.5);
-          this.dry.set(key, { until: (this.clock.steady() + pause) as Steady, pause });
+          this.dry.set(key, { until: (this.clock.steady() + pause) as SteadyMs, pause });
         } else this.dry.delete(key);
         this.logger.info({ hire: h.name, place: key, asked: h.n, got: machines.length }, 'rented');
         this.log.tell({
           entries: [{ e: 'hired', name: h.name, m: machines }],
-          done: () => this.renting.delete(h.name),
+          onSettled: () => this.renting.delete(h.name),
         });
       });
     }
@@ -125,7 +128,7 @@
       for (const m of chunked(due, 50))
         this.log.tell({
           entries: [{ e: 'gone', m }],
-          done: () => {
+          onSettled: () => {
             for (const id of due) this.returning.delete(id);
           },
         });
@@ -159,8 +162,8 @@
         continue;
       }
       // The list is late: a machine that was returned a moment ago still stands in it.
-      if (this.state.gone.has(l.id)) continue;
-      if (this.state.hires.size > 0) continue;
+      if (this.state.removedMachines.has(l.id)) continue;
+      if (this.state.pendingRentals.size > 0) continue;
       const since = this.strays.get(l.id) ?? now;
       this.strays.set(l.id, since);
       if (l.state === 'failed' || now - since > 20_000) strays.push(l.id);
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -1,6 +1,6 @@
 /** One node: follows the log, contends for the lock, leads while it holds it. */
 import { dumpState } from '../core/state-dump.js';
-import type { Command, Fence, NodeId, Steady, Term, WorkerReport } from '../core/types.js';
+import type { Command, Fence, NodeId, SteadyMs, Term, WorkerReport } from '../core/types.js';
 import type { Peers, PeerStatus } from '../io/peers.js';
 import { sleep } from '../io/clock.js';
 import { LEADER, readLeaderValue, type LeaderValue } from '../wire/keys.js';
@@ -44,7 +44,7 @@
   /** When this node last had a link to the leader, or knew of none. */
   private linkedAt = -Infinity;
   /** What this node saw of terms reaches back to here: all of it once the state service was read. */
-  private remembers: Steady;
+  private remembers: SteadyMs;
   private readonly uncertainAnswers: UncertainAnswers;
   /** What users ask, here and passed on by peers. */
   readonly requests: UserRequests;
@@ -76,7 +76,7 @@
         logger.info({ leader: v?.node ?? null, term: v?.term, run: v?.run }, 'leader key read');
       },
       term: (t) => {
-        this.remembers = -Infinity as Steady;
+        this.remembers = -Infinity as SteadyMs;
         this.higher(t);
       },
     });
@@ -182,7 +182,7 @@
     });
     this.ports.measure('take_over', clock.steady() - from);
     const { term, stamp } = held;
-    logger.info({ term, run: this.run, revision: stamp, next: this.follower.state.next }, 'leading');
+    logger.info({ term, run: this.run, revision: stamp, next: this.follower.state.nextRecord }, 'leading');
   }
 
   private stepDown(why: string): void {
@@ -203,7 +203,7 @@
 
   /** The number of the next record, as far as this node knows. */
   get position(): number {
-    return this.follower.state.next;
+    return this.follower.state.nextRecord;
   }
 
   /** Figures of the calls to workers, while this node leads; empty otherwise. */
@@ -231,7 +231,7 @@
       workers: this.leading?.workers.intake.countHeard(HEARD_LATELY_MS) ?? this.sight.countCallers(),
       stateAge: this.leading
         ? this.lock.uncertainFor()
-        : Math.min(1e9, clock.steady() - this.follower.lastAnswer),
+        : Math.min(1e9, clock.steady() - this.follower.lastAnswerAt),
       reachesState: clock.steady() - this.follower.answeredInTimeAt < STATUS_FRESH_MS,
       inDoubt: this.handOver.isInDoubt,
       gaveWay: this.handOver.gaveWayLately(),
@@ -239,7 +239,7 @@
   }
 
   /** What a peer says of itself; asked: when the question was put that it answers. */
-  peerStatus(s: PeerStatus, asked?: Steady): void {
+  peerStatus(s: PeerStatus, asked?: SteadyMs): void {
     this.higher(s.term as Term);
     // The state service may be out of reach when workers have to be told whom to go to.
     if (s.leader && s.leaderTerm > this.ledTerm) {
@@ -260,7 +260,7 @@
     // A leader without state service and peers can do nothing for users; with peers it is an outage for all.
     if (this.leading) return this.lock.uncertainFor() < this.apartMs || this.heard(this.apartMs).length > 0;
     // The state service names a leader that outlived its lease, and no link to it can be had.
-    if (now - this.linkedAt > this.apartMs && this.follower.lastAnswer - this.linkedAt > this.apartMs)
+    if (now - this.linkedAt > this.apartMs && this.follower.lastAnswerAt - this.linkedAt > this.apartMs)
       return false;
     return this.sight.isSeen(LEADERLESS_READY_MS);
   }
--- a/src/actors/first-reports.ts
+++ b/src/actors/first-reports.ts
@@ -2,9 +2,9 @@
  * Whether a new leader knows what runs: each live worker has reported under its term, or one report period has
  * passed. The same holds after a standstill of the node.
  */
-import { isUp, type Machine } from '../core/model.js';
-import type { State } from '../core/state.js';
-import type { MachineId, Steady } from '../core/types.js';
+import { isAvailable, type Machine } from '../core/model.js';
+import type { ClusterState } from '../core/state.js';
+import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { NodePace } from './node-pace.js';
 import { REPORT_SPREAD } from './report-intake.js';
@@ -15,12 +15,12 @@
 
 export class FirstReports {
   /** The beginning of the wait that is over. */
-  private settledSince: Steady | null = null;
+  private settledSince: SteadyMs | null = null;
   /** The machine that was last found not to have reported: while it has not, no other is looked at. */
   private awaited: MachineId | null = null;
 
   constructor(
-    private readonly state: State,
+    private readonly state: ClusterState,
     private readonly views: ReadonlyMap<MachineId, WorkerView>,
     private readonly pace: NodePace,
     private readonly clock: Clock,
@@ -54,6 +54,6 @@
 
   private isUnreported(machine: Machine): boolean {
     const view = this.views.get(machine.id);
-    return isUp(machine) && !(view?.knowsTerm && view.heardAt >= this.pace.since);
+    return isAvailable(machine) && !(view?.knowsTerm && view.heardAt >= this.pace.since);
   }
 }
--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -1,6 +1,6 @@
 /** A node's copy of the state while another leads: reads the log on, and says when the lock is free. */
-import { State } from '../core/state.js';
-import type { LogRecord, RecordNo, Term } from '../core/types.js';
+import { ClusterState } from '../core/state.js';
+import type { LogRecord, RecordNumber, Term } from '../core/types.js';
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import {
@@ -25,7 +25,7 @@
 } from '../wire/store.js';
 import { KeyValues } from './key-values.js';
 import { SingleFlight } from './single-flight.js';
-import { NO_HEAD, unpack, type Head } from './snapshot.js';
+import { NO_SNAPSHOT, stateFromChunks, type VersionedSnapshotHead } from './snapshot.js';
 
 /** While another part of the node has the state, it is looked for this often whether it is back. */
 const PAUSED_LOOK_MS = 50;
@@ -41,12 +41,12 @@
 
 /** Follows the log by watch, so that a take-over finds the state at hand. */
 export class Follower {
-  state = new State();
+  state = new ClusterState();
   loaded = false;
   leader: LeaderValue | null = null;
-  head: Head = NO_HEAD;
+  head: VersionedSnapshotHead = NO_SNAPSHOT;
   /** Steady time of the last answer of the state service. */
-  lastAnswer = -Infinity;
+  lastAnswerAt = -Infinity;
   /** Steady time of its last answer to a question that came in the usual time; the last question's, or never. */
   answeredInTimeAt = -Infinity;
   private revision: Revision = 0;
@@ -96,7 +96,7 @@
       return;
     }
     if (!news) return sleep(this.clock, FAILED_READ_MS);
-    this.lastAnswer = this.clock.steady();
+    this.lastAnswerAt = this.clock.steady();
     this.revision = news.revision;
     this.log.debug({ revision: news.revision, changes: news.changes.length }, 'state service read');
     for (const change of news.changes) this.takeChange(change);
@@ -125,7 +125,7 @@
     // Guards against giving way to a peer that is answered in time by luck: one late answer, and it is no evidence.
     if (k === undefined) this.answeredInTimeAt = -Infinity;
     if (k === undefined || this.paused) return false;
-    this.lastAnswer = this.answeredInTimeAt = this.clock.steady();
+    this.lastAnswerAt = this.answeredInTimeAt = this.clock.steady();
     const v = k === null ? null : this.values.leader(k.value);
     if (v?.run !== this.leader?.run || v?.term !== this.leader?.term) this.setLeader(v);
     return v === null;
@@ -142,13 +142,13 @@
   }
 
   private setHead(i: { value: unknown; stamp: Stamp } | null): void {
-    this.head = i ? { ...(i.value as HeadValue), stamp: i.stamp } : NO_HEAD;
+    this.head = i ? { ...(i.value as HeadValue), version: i.stamp } : NO_SNAPSHOT;
   }
 
-  private take(no: RecordNo, rec: LogRecord): void {
-    if (no < this.state.next) return;
-    if (no > this.state.next) {
-      this.log.info({ no, next: this.state.next }, 'gap in the log, reading it again');
+  private take(no: RecordNumber, rec: LogRecord): void {
+    if (no < this.state.nextRecord) return;
+    if (no > this.state.nextRecord) {
+      this.log.info({ no, next: this.state.nextRecord }, 'gap in the log, reading it again');
       this.loaded = false;
       return;
     }
@@ -168,25 +168,25 @@
    * is in a snapshot already.
    */
   private async rejoin(): Promise<boolean | null> {
-    const records = await this.store.list(RECORDS, recordKey(this.state.next - 1));
+    const records = await this.store.list(RECORDS, recordKey(this.state.nextRecord - 1));
     const [leader, head, term] = [
       await this.store.get(LEADER),
       await this.store.get(HEAD),
       await this.store.get(TERM),
     ];
     if (!records || leader === undefined || head === undefined || term === undefined) return false;
-    const folded = ((head?.value as HeadValue | undefined)?.upto ?? 0) >= this.state.next;
+    const folded = ((head?.value as HeadValue | undefined)?.upto ?? 0) >= this.state.nextRecord;
     const first = records.items[0];
-    if (folded || (first && recordOf(first.key) > this.state.next)) return null;
+    if (folded || (first && recordOf(first.key) > this.state.nextRecord)) return null;
     this.ledUntilNow = false;
     this.loaded = true;
     for (const item of records.items) this.take(recordOf(item.key), item.value as LogRecord);
     this.revision = records.revision;
-    this.lastAnswer = this.clock.steady();
+    this.lastAnswerAt = this.clock.steady();
     this.setHead(head);
     this.setTerm(term?.value);
     this.setLeader(leader ? this.values.leader(leader.value) : null);
-    this.log.info({ next: this.state.next }, 'state read on');
+    this.log.info({ next: this.state.nextRecord }, 'state read on');
     return this.loaded;
   }
 
@@ -197,27 +197,27 @@
     if (!all) return false;
     const keys = new Map(all.items.map((i) => [i.key, i.value]));
     const head = (keys.get(HEAD) as HeadValue | undefined) ?? { upto: 0, chunks: 0 };
-    let state = new State();
+    let state = new ClusterState();
     if (head.upto > 0) {
-      const folded = unpack(keys, head);
+      const folded = stateFromChunks(keys, head);
       if (!folded) return false;
       state = folded;
     }
     for (const i of all.items) {
       if (!i.key.startsWith(RECORDS)) continue;
       const no = recordOf(i.key);
-      if (no < state.next) continue;
-      if (no > state.next) return false;
+      if (no < state.nextRecord) continue;
+      if (no > state.nextRecord) return false;
       state.apply(no, i.value as LogRecord);
     }
     this.state = state;
     this.setHead(all.items.find((i) => i.key === HEAD) ?? null);
     this.revision = all.revision;
     this.loaded = true;
-    this.lastAnswer = this.clock.steady();
+    this.lastAnswerAt = this.clock.steady();
     this.setTerm(keys.get(TERM));
     this.setLeader(keys.has(LEADER) ? this.values.leader(keys.get(LEADER)) : null);
-    this.log.info({ next: state.next, ms: Math.round(this.clock.steady() - from) }, 'state loaded');
+    this.log.info({ next: state.nextRecord, ms: Math.round(this.clock.steady() - from) }, 'state loaded');
     return true;
   }
 
@@ -225,7 +225,7 @@
    * Reads on to what the log holds at this moment, so that this node may say what can change though it
    * reaches no leader. Questions share reads, and reads keep a distance. False when it could not be done.
    */
-  fresh(): Promise<boolean> {
+  readLatest(): Promise<boolean> {
     return this.reads.get();
   }
 
@@ -236,8 +236,8 @@
   }
 
   /** Whether the log is here up to a record, or comes within a time. */
-  async reaches(next: number, mostMs: number): Promise<boolean> {
-    for (const end = this.clock.steady() + mostMs; this.state.next < next;)
+  async waitForRecord(next: number, mostMs: number): Promise<boolean> {
+    for (const end = this.clock.steady() + mostMs; this.state.nextRecord < next;)
       if (!this.loaded || this.paused || this.clock.steady() > end) return false;
       else await sleep(this.clock, 20);
     return this.loaded && !this.paused;
@@ -245,7 +245,7 @@
 
   /** Reads what was written after the last record known here, and applies it if it still may be. */
   private async readOn(may: () => boolean): Promise<boolean> {
-    const records = await this.store.list(RECORDS, recordKey(this.state.next - 1));
+    const records = await this.store.list(RECORDS, recordKey(this.state.nextRecord - 1));
     // Nothing after ours: either all is here, or it was folded meanwhile.
     const head = records?.items.length === 0 ? await this.store.get(HEAD) : null;
     if (!records || head === undefined || !may()) return false;
@@ -254,11 +254,11 @@
 
   /** Applies what follows the last record known here; false when it was folded, so that all has to be loaded. */
   private takeRest(records: Item[], head: Item | null): boolean {
-    this.lastAnswer = this.clock.steady();
+    this.lastAnswerAt = this.clock.steady();
     const first = records[0];
     const isFolded = first
-      ? recordOf(first.key) > this.state.next
-      : head !== null && (head.value as HeadValue).upto >= this.state.next;
+      ? recordOf(first.key) > this.state.nextRecord
+      : head !== null && (head.value as HeadValue).upto >= this.state.nextRecord;
     if (isFolded) this.loaded = false;
     else for (const { key, value } of records) this.take(recordOf(key), value as LogRecord);
     return this.loaded;
@@ -271,7 +271,7 @@
   async catchUp(patienceMs: number): Promise<boolean> {
     if (!this.loaded) return this.load(patienceMs);
     const [records, head] = await Promise.all([
-      this.store.list(RECORDS, recordKey(this.state.next - 1), Math.max(LIST_MS, patienceMs)),
+      this.store.list(RECORDS, recordKey(this.state.nextRecord - 1), Math.max(LIST_MS, patienceMs)),
       this.store.get(HEAD, Math.max(ANSWER_MS, patienceMs)),
     ]);
     if (!records || head === undefined) return false;
--- a/src/actors/hand-over.ts
+++ b/src/actors/hand-over.ts
@@ -1,5 +1,5 @@
 /** When a holder of the lock gives it away though its lease lasts, and how long it then stays back. */
-import type { NodeId, Steady, Term } from '../core/types.js';
+import type { NodeId, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { HeardStatus } from '../io/peers.js';
@@ -31,7 +31,7 @@
   private readonly reach: WorkerReach;
   private stayBackUntil = -Infinity;
   private gaveWayAt = -Infinity;
-  private heldSince: { held: Held; at: Steady } | null = null;
+  private heldSince: { held: Held; at: SteadyMs } | null = null;
 
   constructor(private readonly options: HandOverOptions) {
     const { clock, lifeMs, logger, me, others, store } = options;
@@ -89,7 +89,7 @@
   private progress(held: Held, leader: LeaderActor | null): HolderProgress {
     const { clock, lock } = this.options;
     if (this.heldSince?.held !== held) this.heldSince = { held, at: clock.steady() };
-    const stuckMs = leader ? leader.log.stuckMs : clock.steady() - this.heldSince.at;
+    const stuckMs = leader ? leader.log.unansweredWriteMs : clock.steady() - this.heldSince.at;
     return { untimelyMs: lock.untimelyMs, stuckMs };
   }
 
--- a/src/actors/introductions.ts
+++ b/src/actors/introductions.ts
@@ -2,7 +2,7 @@
  * Calls that tell workers of a new leader's term. A worker that a former leader still holds drops that one's
  * answers from then on. Whoever was not reached is called again, after ever longer pauses.
  */
-import type { MachineId, Steady } from '../core/types.js';
+import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import { DIRECT_CALL_MS } from './direct-calls.js';
 
@@ -10,7 +10,7 @@
 const LONGEST_PAUSE_MS = 15_000;
 
 export class Introductions {
-  private readonly attempts = new Map<MachineId, { nextAt: Steady; pauseMs: number }>();
+  private readonly attempts = new Map<MachineId, { nextAt: SteadyMs; pauseMs: number }>();
 
   constructor(private readonly clock: Clock) {}
 
@@ -20,7 +20,7 @@
     const { nextAt, pauseMs } = this.attempts.get(machine) ?? { nextAt: now, pauseMs: FIRST_PAUSE_MS };
     if (nextAt > now) return false;
     this.attempts.set(machine, {
-      nextAt: (now + DIRECT_CALL_MS + pauseMs) as Steady,
+      nextAt: (now + DIRECT_CALL_MS + pauseMs) as SteadyMs,
       pauseMs: Math.min(LONGEST_PAUSE_MS, pauseMs * 2),
     });
     return true;
--- a/src/actors/leader-sight.ts
+++ b/src/actors/leader-sight.ts
@@ -1,5 +1,5 @@
 /** What a node hears of the leader from its peers, and of workers that ask here while another leads. */
-import type { MachineId, Steady } from '../core/types.js';
+import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { PeerStatus } from '../io/peers.js';
 import { STATUS_FRESH_MS } from './state-service-doubt.js';
@@ -10,7 +10,7 @@
 export class LeaderSight {
   private seenAt = -Infinity;
   private inDoubtAt = -Infinity;
-  private readonly callers = new Map<MachineId, Steady>();
+  private readonly callers = new Map<MachineId, SteadyMs>();
 
   constructor(private readonly clock: Clock) {}
 
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -2,9 +2,9 @@
 import type { Random } from '../core/fill.js';
 import type { Policy } from '../core/policy.js';
 import { isCancelled } from '../core/recovery.js';
-import type { Job, Live } from '../core/model.js';
-import type { State } from '../core/state.js';
-import type { Entry, LogRecord, MachineId, RecordNo, Term, Wall } from '../core/types.js';
+import type { Job, TaskAttempt } from '../core/model.js';
+import type { ClusterState } from '../core/state.js';
+import type { LogEntry, LogRecord, MachineId, RecordNumber, Term, WallMs } from '../core/types.js';
 import type { Cancel, Clock } from '../io/clock.js';
 import type { HttpCall } from '../io/http-client.js';
 import type { Logger } from '../io/logger.js';
@@ -20,7 +20,7 @@
 import { LogActor } from './log.js';
 import { Pulse } from './pulse.js';
 import { Rounds, type RoundResult } from './round.js';
-import type { Deflate, Head } from './snapshot.js';
+import type { Compress, VersionedSnapshotHead } from './snapshot.js';
 import { Snapshotter } from './snapshotter.js';
 import { WorkersActor } from './workers.js';
 
@@ -34,17 +34,17 @@
   settings: Settings;
   policy: Policy;
   measure: Measure;
-  deflate: Deflate;
+  deflate: Compress;
 }
 
 export interface LeaderOptions {
   ports: LeaderPorts;
-  state: State;
+  state: ClusterState;
   lock: Lock;
   /** The lock as it was taken. */
   held: Held;
   /** The snapshot in force. */
-  head: Head;
+  head: VersionedSnapshotHead;
   /** Another leads: a write was refused. */
   onDeposed: (why: string) => void;
   /** A worker has seen a higher term. */
@@ -79,7 +79,7 @@
   readonly cloud: CloudActor;
   readonly term: Term;
   private readonly ports: LeaderPorts;
-  private readonly state: State;
+  private readonly state: ClusterState;
   private readonly lock: Lock;
   private readonly clock: Clock;
   private readonly rounds: Rounds;
@@ -95,7 +95,7 @@
   private roundAt = -Infinity;
   private roundMs = 0;
   /** When this leader saw a cancellation written: its record may have been begun long before. */
-  private readonly cancelledAt = new WeakMap<Job, Wall>();
+  private readonly cancelledAt = new WeakMap<Job, WallMs>();
 
   constructor(options: LeaderOptions) {
     super();
@@ -122,14 +122,14 @@
     });
     this.log.committed.subscribe(({ no, record }) => this.committed(no, record));
     const live = [...state.machines.values()].flatMap((machine) => [...machine.live]);
-    this.acknowledgements.written((state.next - 1) as RecordNo, live);
+    this.acknowledgements.written((state.nextRecord - 1) as RecordNumber, live);
     this.tick();
   }
 
   private openLog({ ports, state, held, onDeposed }: LeaderOptions): LogActor {
     const { clock, logger, measure, settings, store } = ports;
     return new LogActor({
-      ...{ state, store, clock, logger, onDeposed, term: held.term, stamp: held.stamp },
+      ...{ state, store, clock, logger, onDeposed, term: held.term, leaderVersion: held.stamp },
       limits: settings.cluster.state,
       onWritten: (ms) => measure('write', ms),
     });
@@ -161,10 +161,10 @@
   private openSnapshotter({ held, head }: LeaderOptions, isCertain: () => boolean): Snapshotter {
     const { clock, deflate, logger, measure, settings, store } = this.ports;
     return new Snapshotter({
-      ...{ state: this.state, store, clock, logger, log: this.log, deflate, head, isCertain },
+      ...{ state: this.state, store, clock, logger, log: this.log, compress: deflate, head, isCertain },
       limits: settings.cluster.state,
-      leaderStamp: held.stamp,
-      onCopied: (ms) => {
+      leaderVersion: held.stamp,
+      onStateCopied: (ms) => {
         measure('fold', ms);
         this.pulse.noteStep('fold', ms);
       },
@@ -192,7 +192,7 @@
    * Guards ran_cancelled: a task that a lease's time of stops has not ended is on a machine that hangs or
    * hears nothing; the machine is returned while that still helps.
    */
-  private isOverdue(live: Live): boolean {
+  private isOverdue(live: TaskAttempt): boolean {
     if (!live.stop || !isCancelled(live) || this.workers.hasReportedEnd(live)) return false;
     const { lease_s, cancel_s } = this.ports.settings.cluster.workers;
     const age = (this.clock.wall() - (this.cancelledAt.get(live.job) ?? live.stop.at)) / 1000;
@@ -213,19 +213,19 @@
     });
   }
 
-  private committed(no: RecordNo, record: LogRecord): void {
+  private committed(no: RecordNumber, record: LogRecord): void {
     const lives = record.entries.flatMap((entry) => this.livesOf(entry));
     this.acknowledgements.written(no, lives);
     this.pulse.noteEnds(record);
     const machines = new Set<MachineId>(lives.map((live) => live.machine.id));
     if (machines.size > 0) this.workers.tell({ kind: 'commandsDue', machines });
-    const has = (...kinds: Entry['e'][]): boolean => record.entries.some(({ e }) => kinds.includes(e));
+    const has = (...kinds: LogEntry['e'][]): boolean => record.entries.some(({ e }) => kinds.includes(e));
     if (has('hire', 'drop')) this.cloud.tell({ t: 'tick' });
     if (has('job', 'up', 'gone')) this.planRound();
   }
 
   /** The tasks that an entry's commands concern. */
-  private livesOf(entry: Entry): Live[] {
+  private livesOf(entry: LogEntry): TaskAttempt[] {
     if (entry.e !== 'start' && entry.e !== 'stop' && entry.e !== 'withdraw') return [];
     const job = this.state.jobs.get(entry.job);
     if (!job) return [];
@@ -251,19 +251,19 @@
     this.ports.measure('round', this.roundMs);
     this.pulse.noteStep('round', this.roundMs);
     this.pulse.beat(result.usable, result.stillUnplaced);
-    this.snapshotter.foldIfDue();
+    this.snapshotter.compactIfDue();
   }
 
   private write({ entries, starts, unplaced, usable }: RoundResult): void {
-    const upto = this.acknowledgements.processedUpTo(this.state.next);
+    const upto = this.acknowledgements.processedUpTo(this.state.nextRecord);
     if (entries.length === 0) return;
-    const all: Entry[] = upto > this.state.marked ? [{ e: 'mark', upto }, ...entries] : entries;
+    const all: LogEntry[] = upto > this.state.processedUpTo ? [{ e: 'mark', upto }, ...entries] : entries;
     this.isWritingRound = true;
     let left = all.length;
     const done = (): void => {
       if (--left === 0) this.isWritingRound = false;
     };
-    for (const entry of all) this.log.tell({ entries: [entry], done });
+    for (const entry of all) this.log.tell({ entries: [entry], onSettled: done });
     const waiting = unplaced.map(({ job, tasks }) => [job.spec.id, tasks]);
     this.ports.logger.debug({ starts, unplaced: waiting, usable }, 'round');
   }
--- a/src/actors/lease.ts
+++ b/src/actors/lease.ts
@@ -1,5 +1,5 @@
 /** A lease of the state service that is kept alive by renewals. */
-import type { Steady } from '../core/types.js';
+import type { SteadyMs } from '../core/types.js';
 import type { Cancel, Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { Measure } from '../io/metrics.js';
@@ -35,7 +35,7 @@
   /** The lease's time, in milliseconds. */
   lifeMs: number;
   /** When the request was sent that made it. */
-  askedAt: Steady;
+  askedAt: SteadyMs;
   /** The state service says that it ended. */
   onEnded: () => void;
 }
@@ -100,7 +100,7 @@
     return this.options.lifeMs / RENEWALS_PER_LEASE;
   }
 
-  private validFrom(sentAt: Steady): number {
+  private validFrom(sentAt: SteadyMs): number {
     return sentAt + this.options.lifeMs * (1 - DRIFT);
   }
 
@@ -113,7 +113,7 @@
     void store.renew(this.id, lifeMs).then((answer) => this.take(answer, sentAt));
   }
 
-  private take(answer: Renewal, sentAt: Steady): void {
+  private take(answer: Renewal, sentAt: SteadyMs): void {
     const { clock, lifeMs, logger, measure, onEnded } = this.options;
     const tookMs = clock.steady() - sentAt;
     const isTimely = answer === 'ok' && tookMs <= lifeMs - this.renewalMs;
--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -1,24 +1,24 @@
 /** Writes the leader's entries to the state service, as records of guarded transactions. */
 import { Subject } from 'rxjs';
-import type { State } from '../core/state.js';
-import type { Entry, JobId, LogRecord, RecordNo, Term } from '../core/types.js';
+import type { ClusterState } from '../core/state.js';
+import type { LogEntry, JobId, LogRecord, RecordNumber, Term } from '../core/types.js';
 import { sleep, type Cancel, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import { LEADER, recordKey } from '../wire/keys.js';
 import type { Store, TxnResult } from '../wire/store.js';
 import { Actor } from './actor.js';
 import { TokenBucket } from './token-bucket.js';
-import { COPY_ANSWER_MS, WriteCopies } from './write-copies.js';
+import { COPY_TIMEOUT_MS, HedgedTransaction } from './write-copies.js';
 
-export interface Append {
-  entries: Entry[];
+export interface AppendRequest {
+  entries: LogEntry[];
   /** A user waits for it: it goes before the rest, and is not held back to be written with more. */
   urgent?: boolean;
-  done?: (ok: boolean) => void;
+  onSettled?: (ok: boolean) => void;
 }
 
 export interface LogOptions {
-  state: State;
+  state: ClusterState;
   store: Store;
   clock: Clock;
   logger: Logger;
@@ -26,7 +26,7 @@
   limits: { write_rps: number; value_kb: number; txn_ops: number };
   term: Term;
   /** The revision of the leader key: each write is guarded by it. */
-  stamp: number;
+  leaderVersion: number;
   /** A write was refused: another leads. */
   onDeposed: (why: string) => void;
   /** A write was answered, after so many milliseconds. */
@@ -49,7 +49,7 @@
   ...{ done: 0, failed: 100, refused: 150, no_lease: 30, unknown: 30 },
 };
 
-interface Waiting extends Append {
+interface Waiting extends AppendRequest {
   bytes: number;
 }
 interface Batch {
@@ -73,19 +73,19 @@
  * The leader's writer of the log: group commits, one transaction at a time, each guarded by the leader key's
  * stamp. A burst fills several records of one transaction.
  */
-export class LogActor extends Actor<Append> {
+export class LogActor extends Actor<AppendRequest> {
   private urgent: Waiting[] = [];
   private queue: Waiting[] = [];
   private writing = false;
   private writingSince = 0;
   private lastStart = -Infinity;
   private tag = 0;
-  private readonly state: State;
+  private readonly state: ClusterState;
   private readonly clock: Clock;
   private readonly limits: LogOptions['limits'];
   private readonly bucket: TokenBucket;
   private cancelWait: Cancel | null = null;
-  readonly committed = new Subject<{ no: RecordNo; record: LogRecord }>();
+  readonly committed = new Subject<{ no: RecordNumber; record: LogRecord }>();
   readonly writes = { count: 0, ms: 0 };
 
   constructor(private readonly options: LogOptions) {
@@ -99,12 +99,12 @@
   }
 
   /** Folding takes writes that the pen leaves over: never more than this at once. */
-  get spareMost(): number {
+  get maxSpareWrites(): number {
     return Math.max(1, Math.floor(this.bucket.burst / 2));
   }
 
   /** Takes so many writes for folding, if enough are left for a burst of records. */
-  spare(n: number): boolean {
+  takeSpareWrites(n: number): boolean {
     const { left, burst } = this.bucket;
     if (left < Math.min(burst, n + burst / 2)) return false;
     this.bucket.take(n);
@@ -112,7 +112,7 @@
   }
 
   /** Users' entries not yet in a record. */
-  get pending(): number {
+  get pendingUrgent(): number {
     return this.urgent.length;
   }
 
@@ -121,7 +121,7 @@
   private readonly landed: (() => void)[] = [];
 
   /** Whether what is being written may change what there is to say of a job. */
-  touches(id: JobId): boolean {
+  hasWriteInFlightFor(id: JobId): boolean {
     return this.flight.some((b) =>
       b.record.entries.some((e) => {
         if (e.e === 'job') return e.spec.id === id;
@@ -131,7 +131,7 @@
   }
 
   /** Resolves when what is being written is settled, or a time is over; false then. */
-  settled(mostMs: number): Promise<boolean> {
+  whenSettled(mostMs: number): Promise<boolean> {
     if (this.flight.length === 0) return Promise.resolve(true);
     return new Promise((resolve) => {
       const cancel = this.clock.after(mostMs, () => resolve(false));
@@ -148,12 +148,12 @@
   }
 
   /** How long the present write has gone unanswered. */
-  get stuckMs(): number {
+  get unansweredWriteMs(): number {
     return this.writing ? this.clock.steady() - this.writingSince : 0;
   }
 
-  protected receive(m: Append): void {
-    if (m.entries.length === 0) return m.done?.(true);
+  protected receive(m: AppendRequest): void {
+    if (m.entries.length === 0) return m.onSettled?.(true);
     const w = { ...m, bytes: Buffer.byteLength(JSON.stringify(m.entries)) };
     (m.urgent ? this.urgent : this.queue).push(w);
     this.pump();
@@ -198,7 +198,7 @@
     const batches = this.takeBatches();
     this.flight = batches;
     this.bucket.take(batches.length);
-    const first = this.state.next as RecordNo;
+    const first = this.state.nextRecord as RecordNumber;
     const from = this.clock.steady();
     this.lastStart = this.writingSince = from;
     if (!(await this.settle(first, batches))) return this.drop(batches.flatMap(({ items }) => items));
@@ -217,11 +217,13 @@
    * leader. What is being written is fixed until it is settled: a write without an answer is repeated as it is, and
    * the guard on the absent keys lets only one of the copies through.
    */
-  private async settle(first: RecordNo, batches: readonly Batch[]): Promise<boolean> {
+  private async settle(first: RecordNumber, batches: readonly Batch[]): Promise<boolean> {
     const puts = batches.map(({ record }, index) => ({ put: recordKey(first + index), value: record }));
     const absent = puts.map(({ put }) => ({ key: put, stamp: 0 }));
-    const guards = [{ key: LEADER, stamp: this.options.stamp }, ...absent];
-    const copies = new WriteCopies(this.clock, () => this.options.store.txn(guards, puts, COPY_ANSWER_MS));
+    const guards = [{ key: LEADER, stamp: this.options.leaderVersion }, ...absent];
+    const copies = new HedgedTransaction(this.clock, () =>
+      this.options.store.txn(guards, puts, COPY_TIMEOUT_MS),
+    );
     while (!this.stopped) {
       const result = await copies.next();
       if (this.stopped) return false;
@@ -240,28 +242,28 @@
   }
 
   /** Whether a refused record is there already by another copy; null when it can't be read. */
-  private async isWrittenByUs(no: RecordNo, record: LogRecord): Promise<boolean | null> {
-    const item = await this.options.store.get(recordKey(no), COPY_ANSWER_MS);
+  private async isWrittenByUs(no: RecordNumber, record: LogRecord): Promise<boolean | null> {
+    const item = await this.options.store.get(recordKey(no), COPY_TIMEOUT_MS);
     if (item === undefined) return null;
     const there = item?.value as LogRecord | undefined;
     return there !== undefined && there.term === record.term && there.tag === record.tag;
   }
 
-  private commit(first: RecordNo, batches: readonly Batch[]): void {
+  private commit(first: RecordNumber, batches: readonly Batch[]): void {
     // Guards starts after a confirmed cancellation: a launch of the first record must not leave when the
     // cancellation in the second is written already.
     for (const [index, { record }] of batches.entries())
-      this.state.apply((first + index) as RecordNo, record);
+      this.state.apply((first + index) as RecordNumber, record);
     for (const [index, { items, record }] of batches.entries()) {
-      const no = (first + index) as RecordNo;
-      for (const item of items) item.done?.(true);
+      const no = (first + index) as RecordNumber;
+      for (const item of items) item.onSettled?.(true);
       this.committed.next({ no, record });
       this.options.logger.debug({ no, entries: record.entries.map((entry) => entry.e) }, 'record written');
     }
   }
 
-  private drop(items: Append[]): void {
-    for (const i of items) i.done?.(false);
+  private drop(items: AppendRequest[]): void {
+    for (const i of items) i.onSettled?.(false);
   }
 
   override stop(): void {
@@ -271,6 +273,6 @@
     const q = [...this.urgent, ...this.queue];
     this.urgent = [];
     this.queue = [];
-    for (const i of q) i.done?.(false);
+    for (const i of q) i.onSettled?.(false);
   }
 }
--- a/src/actors/node-pace.ts
+++ b/src/actors/node-pace.ts
@@ -1,5 +1,5 @@
 /** Whether this node keeps up with its work: standstills of the process, and ticks that come late. */
-import type { Steady } from '../core/types.js';
+import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 
@@ -15,8 +15,8 @@
 
 export class NodePace {
   /** Silence of others counts from here on at the earliest: the take-over, or the end of a standstill. */
-  since: Steady;
-  private lastStep: Steady;
+  since: SteadyMs;
+  private lastStep: SteadyMs;
   private wokeAt = -Infinity;
   private tickedAt = Infinity;
   private behindUntil = -Infinity;
--- a/src/actors/pulse.ts
+++ b/src/actors/pulse.ts
@@ -1,7 +1,7 @@
 /** How things stand on the leader, each ten seconds, for the operator's log. */
 import type { PlacementResult } from '../core/placement.js';
-import type { State } from '../core/state.js';
-import type { Cause, LogRecord, Steady, Term } from '../core/types.js';
+import type { ClusterState } from '../core/state.js';
+import type { EndCause, LogRecord, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { WorkersActor } from './workers.js';
@@ -11,7 +11,7 @@
 const NAMED_WAITING = 8;
 
 export interface PulseOptions {
-  state: State;
+  state: ClusterState;
   workers: WorkersActor;
   clock: Clock;
   logger: Logger;
@@ -21,9 +21,9 @@
 }
 
 export class Pulse {
-  private lastAt: Steady = -Infinity as Steady;
+  private lastAt: SteadyMs = -Infinity as SteadyMs;
   /** Ends of tasks since the last pulse, by cause. */
-  private ends: Partial<Record<Cause, number>> = {};
+  private ends: Partial<Record<EndCause, number>> = {};
   /** The longest steps since the last pulse, in milliseconds: nothing is answered meanwhile. */
   private longest = { round: 0, fold: 0 };
 
@@ -66,7 +66,7 @@
     for (const machine of state.machines.values()) {
       figures.machines++;
       figures.spot += Number(machine.spot);
-      figures.cpus += state.types.get(machine.type)?.cpus ?? 0;
+      figures.cpus += state.machineTypes.get(machine.type)?.cpus ?? 0;
       if (machine.session === 0) figures.booting++;
       else if (machine.live.size === 0) figures.idle++;
       for (const live of machine.live) {
--- a/src/actors/reach-claims.ts
+++ b/src/actors/reach-claims.ts
@@ -2,7 +2,7 @@
  * Claims in the state service: a controller that hears nothing of the leader, and that workers ask, says so there.
  * It is the only way to a leader that is cut off from all but the state service.
  */
-import type { NodeId, Steady, Term } from '../core/types.js';
+import type { NodeId, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import { REACH, reachKey, readReachClaim, type ReachClaim } from '../wire/keys.js';
 import type { Store } from '../wire/store.js';
@@ -11,7 +11,7 @@
 const CLAIMS_APART_MS = 1000;
 
 export class ReachClaims {
-  private claimedAt = -Infinity as Steady;
+  private claimedAt = -Infinity as SteadyMs;
 
   constructor(
     private readonly store: Store,
--- a/src/actors/report-intake.ts
+++ b/src/actors/report-intake.ts
@@ -2,8 +2,8 @@
  * What this leader heard of its workers: takes each report once, judges what it proves, and passes its facts on to
  * the log.
  */
-import { isUp, type Machine } from '../core/model.js';
-import type { State } from '../core/state.js';
+import { isAvailable, type Machine } from '../core/model.js';
+import type { ClusterState } from '../core/state.js';
 import type { MachineId, Term, WorkerReport } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { NodePace } from './node-pace.js';
@@ -21,7 +21,7 @@
 const REPORT_LATE_MS = 2000;
 
 export interface ReportIntakeOptions {
-  state: State;
+  state: ClusterState;
   clock: Clock;
   pace: NodePace;
   progress: TaskProgress;
@@ -36,7 +36,7 @@
   readonly views = new Map<MachineId, WorkerView>();
   /** When any worker was heard last. */
   private lastHeardAt = -Infinity;
-  private readonly state: State;
+  private readonly state: ClusterState;
   private readonly clock: Clock;
   private readonly pace: NodePace;
 
@@ -55,7 +55,7 @@
   canTakeWork(machine: Machine): boolean {
     const view = this.views.get(machine.id);
     return (
-      isUp(machine) &&
+      isAvailable(machine) &&
       machine.errors <= MOST_FAILURES &&
       view !== undefined &&
       view.report.session === machine.session &&
@@ -79,7 +79,7 @@
     this.pace.step();
     if (this.clock.steady() - Math.max(this.pace.since, this.lastHeardAt) < this.latestMs) return false;
     let up = 0;
-    for (const machine of this.state.machines.values()) if (isUp(machine)) up++;
+    for (const machine of this.state.machines.values()) if (isAvailable(machine)) up++;
     return up >= 2;
   }
 
@@ -123,7 +123,7 @@
     const { report, startedInAnswer } = view;
     if (report.term === this.options.term) {
       view.knowsTerm = true;
-      view.calls.fenceShown(report.fence);
+      view.unsettledCalls.fenceReported(report.fence);
     }
     if (!wasSent) return;
     // A worker sends its next report when it has taken, or given up, the answer to the last.
@@ -160,7 +160,7 @@
   /** Calls with starts that may still be carried out, of all workers. */
   countUnsettledCalls(): number {
     let count = 0;
-    for (const view of this.views.values()) count += view.calls.size;
+    for (const view of this.views.values()) count += view.unsettledCalls.size;
     return count;
   }
 }
--- a/src/actors/round.ts
+++ b/src/actors/round.ts
@@ -3,15 +3,15 @@
  * were heard to do. Decides only; the leader writes the entries.
  */
 import { planRentals, planReturns, type CapacityInput } from '../core/capacity.js';
-import { stopsForNotices, stopsOfBrokenGangs } from '../core/orderly-stops.js';
+import { stopsForNotices, stopsForBrokenGangs } from '../core/orderly-stops.js';
 import { orderClaims } from '../core/claims.js';
 import type { Random } from '../core/fill.js';
 import { place, type PlacementResult } from '../core/placement.js';
 import type { Policy } from '../core/policy.js';
 import { preempt, type PreemptionResult } from '../core/preemption.js';
-import { isUp, type Job, type Live, type Machine } from '../core/model.js';
-import type { State } from '../core/state.js';
-import { rank, type Entry, type Team, type Wall } from '../core/types.js';
+import { isAvailable, type Job, type TaskAttempt, type Machine } from '../core/model.js';
+import type { ClusterState } from '../core/state.js';
+import { priorityRank, type LogEntry, type Team, type WallMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import { teamsOf, type Settings } from '../wire/settings.js';
 import type { CloudActor } from './cloud.js';
@@ -33,7 +33,7 @@
 const QUIET_LEAST_MACHINES = 3;
 
 export interface RoundOptions {
-  state: State;
+  state: ClusterState;
   workers: WorkersActor;
   cloud: CloudActor;
   clock: Clock;
@@ -42,11 +42,11 @@
   random: Random;
   nextRentalName: () => string;
   /** Whether a cancelled task is still there though stops had time enough. */
-  isOverdue: (live: Live) => boolean;
+  isOverdue: (live: TaskAttempt) => boolean;
 }
 
 export interface RoundResult {
-  entries: Entry[];
+  entries: LogEntry[];
   starts: number;
   usable: number;
   /** What found no room on any machine. */
@@ -76,7 +76,7 @@
     }
   }
 
-  decide(now: Wall): RoundResult {
+  decide(now: WallMs): RoundResult {
     const { state, workers } = this.options;
     const usable = [...state.machines.values()].filter((machine) => workers.intake.canTakeWork(machine));
     const stops = stopsForNotices(state, (machine) => workers.intake.noticeOf(machine) !== null);
@@ -86,7 +86,7 @@
       (job) => this.isTooLate(job, now),
       (job) => now - job.at > STARVING_MS && neverStarted(job),
     );
-    const broken = stopsOfBrokenGangs(
+    const broken = stopsForBrokenGangs(
       order.map((claim) => claim.job),
       (live) => workers.progress.waitsForGang(live),
     );
@@ -110,7 +110,7 @@
   }
 
   /** Whether a job can't be finished within its aim any more; not for ever, so that it isn't put off for good. */
-  private isTooLate(job: Job, now: Wall): boolean {
+  private isTooLate(job: Job, now: WallMs): boolean {
     const within = this.finishWithin.get(job.spec.class);
     const age = (now - job.at) / 1000;
     return (
@@ -119,12 +119,12 @@
   }
 
   /** Seconds since a task was first shown running; null before that. */
-  private secondsRun(live: Live): number | null {
+  private secondsRun(live: TaskAttempt): number | null {
     const startedAt = this.options.workers.progress.startedAt(live);
     return startedAt === null ? null : (this.options.clock.steady() - startedAt) / 1000;
   }
 
-  private place(order: ReturnType<typeof orderClaims>, usable: Machine[], now: Wall): PlacementResult {
+  private place(order: ReturnType<typeof orderClaims>, usable: Machine[], now: WallMs): PlacementResult {
     const { cloud, random, state, workers } = this.options;
     const placed = place({
       ...{ claims: order, state, teams: this.teams, now, random, usable },
@@ -155,7 +155,7 @@
         releasingResources,
       },
       secondsRun: (live) => this.secondsRun(live),
-      minRank: rank.high,
+      minRank: priorityRank.high,
     });
   }
 
@@ -163,7 +163,7 @@
     usable: Machine[],
     { retained, freeResources }: PlacementResult,
     unplaced: PlacementResult['unplaced'],
-    now: Wall,
+    now: WallMs,
   ): CapacityInput {
     const { cloud, isOverdue, nextRentalName, policy, settings, state, workers } = this.options;
     return {
@@ -185,7 +185,7 @@
 
   private mostAreQuiet(): boolean {
     const { state, workers } = this.options;
-    const up = [...state.machines.values()].filter(isUp);
+    const up = [...state.machines.values()].filter(isAvailable);
     const quiet = up.filter((machine) => workers.intake.secondsSilent(machine) > QUIET_S).length;
     return up.length >= QUIET_LEAST_MACHINES && quiet * 2 > up.length;
   }
--- a/src/actors/single-flight.ts
+++ b/src/actors/single-flight.ts
@@ -1,5 +1,5 @@
 /** Coalesces calls of a costly operation. */
-import type { Steady } from '../core/types.js';
+import type { SteadyMs } from '../core/types.js';
 import { sleep, type Clock } from '../io/clock.js';
 
 /**
@@ -9,7 +9,7 @@
 export class SingleFlight<T> {
   private current: Promise<T> | null = null;
   private next: Promise<T> | null = null;
-  private startedAt: Steady | null = null;
+  private startedAt: SteadyMs | null = null;
 
   constructor(
     private readonly clock: Clock,
--- a/src/actors/snapshot.ts
+++ b/src/actors/snapshot.ts
@@ -2,24 +2,27 @@
 import { inflateSync } from 'node:zlib';
 import { chunked } from '../core/chunked.js';
 import { loadState } from '../core/state-dump.js';
-import type { State } from '../core/state.js';
+import type { ClusterState } from '../core/state.js';
 import { chunkKey, type HeadValue } from '../wire/keys.js';
 import type { Stamp } from '../wire/store.js';
 
 /** The snapshot in force, and the version of the key that says so. */
-export interface Head extends HeadValue {
-  stamp: Stamp;
+export interface VersionedSnapshotHead extends HeadValue {
+  version: Stamp;
 }
-export const NO_HEAD: Head = { upto: 0, chunks: 0, stamp: 0 };
+export const NO_SNAPSHOT: VersionedSnapshotHead = { upto: 0, chunks: 0, version: 0 };
 
 /** Packs a text off the thread that renews the lock. */
-export type Deflate = (text: string) => Promise<Buffer>;
+export type Compress = (text: string) => Promise<Buffer>;
 
 /** So many items at once: a machine's or a job's share of a large state is no long step. */
 const AT_ONCE = 40;
 
 /** A state's dump as lines of JSON, each a field or some items of one; other work goes on between them. */
-export async function lines(dump: Record<string, unknown>, pause: () => Promise<void>): Promise<string> {
+export async function toJsonLines(
+  dump: Record<string, unknown>,
+  pause: () => Promise<void>,
+): Promise<string> {
   const out: string[] = [];
   for (const [field, value] of Object.entries(dump)) {
     const parts = Array.isArray(value) && value.length > 0 ? chunked(value, AT_ONCE) : [value];
@@ -46,7 +49,7 @@
 }
 
 /** A text packed, in chunks of at most so many characters. */
-export async function pack(text: string, size: number, deflate: Deflate): Promise<string[]> {
+export async function toCompressedChunks(text: string, size: number, deflate: Compress): Promise<string[]> {
   const all = (await deflate(text)).toString('base64');
   const chunks: string[] = [];
   for (let i = 0; i < all.length; i += size) chunks.push(all.slice(i, i + size));
@@ -54,7 +57,7 @@
 }
 
 /** The snapshot that a head names, from keys that were read; null when a chunk is missing. */
-export function unpack(keys: Map<string, unknown>, head: HeadValue): State | null {
+export function stateFromChunks(keys: Map<string, unknown>, head: HeadValue): ClusterState | null {
   const parts: string[] = [];
   for (let i = 0; i < head.chunks; i++) {
     const c = keys.get(chunkKey(head.upto, i));
--- a/src/actors/snapshotter.ts
+++ b/src/actors/snapshotter.ts
@@ -4,13 +4,13 @@
  */
 import { chunked } from '../core/chunked.js';
 import { dumpState } from '../core/state-dump.js';
-import type { State } from '../core/state.js';
+import type { ClusterState } from '../core/state.js';
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import { HEAD, LEADER, chunkKey, recordKey, type HeadValue } from '../wire/keys.js';
 import type { Op, Stamp, Store } from '../wire/store.js';
 import type { LogActor } from './log.js';
-import { lines, pack, type Deflate, type Head } from './snapshot.js';
+import { toJsonLines, toCompressedChunks, type Compress, type VersionedSnapshotHead } from './snapshot.js';
 
 /** So many records are folded at once. */
 const FOLD_EVERY = 250;
@@ -23,24 +23,24 @@
 const TXN_KB = 60;
 
 export interface SnapshotterOptions {
-  state: State;
+  state: ClusterState;
   store: Store;
   clock: Clock;
   logger: Logger;
   log: LogActor;
-  deflate: Deflate;
+  compress: Compress;
   limits: { value_kb: number; txn_ops: number };
   /** The revision of the leader key that this leader wrote. */
-  leaderStamp: Stamp;
+  leaderVersion: Stamp;
   /** The snapshot in force at the take-over. */
-  head: Head;
+  head: VersionedSnapshotHead;
   isCertain: () => boolean;
   /** How long the copy of the state took: nothing is answered meanwhile. */
-  onCopied: (ms: number) => void;
+  onStateCopied: (ms: number) => void;
 }
 
 export class Snapshotter {
-  private head: Head;
+  private head: VersionedSnapshotHead;
   private isFolding = false;
   private isStopped = false;
 
@@ -49,27 +49,31 @@
   }
 
   /** Starts folding if enough records have gathered. One that was refused for good is not tried again. */
-  foldIfDue(): void {
-    if (this.isFolding || this.options.state.next - 1 - this.head.upto < FOLD_EVERY) return;
+  compactIfDue(): void {
+    if (this.isFolding || this.options.state.nextRecord - 1 - this.head.upto < FOLD_EVERY) return;
     this.isFolding = true;
-    void this.fold();
+    void this.compact();
   }
 
   stop(): void {
     this.isStopped = true;
   }
 
-  private async fold(): Promise<void> {
-    const { clock, deflate, limits, logger, state } = this.options;
-    const upto = state.next - 1;
+  private async compact(): Promise<void> {
+    const { clock, compress: deflate, limits, logger, state } = this.options;
+    const upto = state.nextRecord - 1;
     const from = clock.steady();
     const dump = dumpState(state);
-    this.options.onCopied(clock.steady() - from);
-    const text = await lines(dump, () => sleep(clock, PAUSE_MS));
-    const chunks = await pack(text, Math.floor(limits.value_kb * 1024 - VALUE_FRAME_BYTES), deflate);
+    this.options.onStateCopied(clock.steady() - from);
+    const text = await toJsonLines(dump, () => sleep(clock, PAUSE_MS));
+    const chunks = await toCompressedChunks(
+      text,
+      Math.floor(limits.value_kb * 1024 - VALUE_FRAME_BYTES),
+      deflate,
+    );
     const old = this.head;
-    if (!(await this.writeChunks(upto, chunks, old.stamp))) return;
-    const head = await this.switchTo({ upto, chunks: chunks.length }, old.stamp);
+    if (!(await this.writeChunks(upto, chunks, old.version))) return;
+    const head = await this.switchTo({ upto, chunks: chunks.length }, old.version);
     if (!head) return;
     this.head = head;
     await this.remove(old, head);
@@ -84,13 +88,13 @@
   }
 
   /** Puts the new head in force; null when that was refused for good. */
-  private async switchTo(value: HeadValue, oldStamp: Stamp): Promise<Head | null> {
+  private async switchTo(value: HeadValue, oldStamp: Stamp): Promise<VersionedSnapshotHead | null> {
     const stamp = await this.write([{ put: HEAD, value }], oldStamp);
-    if (stamp !== null) return { ...value, stamp };
+    if (stamp !== null) return { ...value, version: stamp };
     // Refused: by an earlier copy of the same write, or because another leads.
     while (!this.isStopped) {
       const key = await this.options.store.get(HEAD);
-      if (key && (key.value as HeadValue).upto === value.upto) return { ...value, stamp: key.stamp };
+      if (key && (key.value as HeadValue).upto === value.upto) return { ...value, version: key.stamp };
       if (key !== undefined) return null;
       await sleep(this.options.clock, RETRY_MS);
     }
@@ -98,15 +102,15 @@
   }
 
   /** Removes the records that the new head holds, and the old head's chunks. */
-  private async remove(old: Head, head: Head): Promise<void> {
+  private async remove(old: VersionedSnapshotHead, head: VersionedSnapshotHead): Promise<void> {
     const ops: Op[] = [];
     for (let no = old.upto + 1; no <= head.upto; no++) ops.push({ remove: recordKey(no) });
     for (let i = 0; i < old.chunks; i++) ops.push({ remove: chunkKey(old.upto, i) });
-    await this.writeInParts(ops, this.mostOps(), head.stamp);
+    await this.writeInParts(ops, this.mostOps(), head.version);
   }
 
   private mostOps(): number {
-    return Math.max(1, Math.min(this.options.limits.txn_ops, this.options.log.spareMost));
+    return Math.max(1, Math.min(this.options.limits.txn_ops, this.options.log.maxSpareWrites));
   }
 
   private async writeInParts(ops: Op[], atOnce: number, headStamp: Stamp): Promise<boolean> {
@@ -116,9 +120,9 @@
 
   /** Writes when the rate allows it; the head's revision after it, null when it was refused for good. */
   private async write(part: Op[], headStamp: Stamp): Promise<Stamp | null> {
-    const { clock, isCertain, leaderStamp, log, store } = this.options;
+    const { clock, isCertain, leaderVersion: leaderStamp, log, store } = this.options;
     while (!this.isStopped) {
-      if (isCertain() && log.spare(part.length)) {
+      if (isCertain() && log.takeSpareWrites(part.length)) {
         // Guards forgotten: a copy of an unanswered write that is carried out late finds another head,
         // so it neither puts an earlier one back nor writes chunks anew that were removed.
         const guards = [
--- a/src/actors/state-service-doubt.ts
+++ b/src/actors/state-service-doubt.ts
@@ -2,7 +2,7 @@
  * Whether a holder of the lock gets nothing done at the state service though a peer does: it then keeps a right
  * alive that it can't use, and keeps everybody else out.
  */
-import type { Steady } from '../core/types.js';
+import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { HeardStatus } from '../io/peers.js';
@@ -30,7 +30,7 @@
 
 export class StateServiceDoubt {
   /** Since when a peer has been reaching the state service without a break, while this node is in doubt. */
-  private peerReachesSince: Steady | null = null;
+  private peerReachesSince: SteadyMs | null = null;
   private doubting = false;
 
   constructor(
--- a/src/actors/task-progress.ts
+++ b/src/actors/task-progress.ts
@@ -1,16 +1,16 @@
 /** What workers last showed each task doing, as this leader heard it. */
-import type { Job, Live } from '../core/model.js';
-import type { State } from '../core/state.js';
-import type { Steady, TaskState, WorkerReport } from '../core/types.js';
+import type { Job, TaskAttempt } from '../core/model.js';
+import type { ClusterState } from '../core/state.js';
+import type { SteadyMs, TaskState, WorkerReport } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 
 export class TaskProgress {
-  private readonly reported = new WeakMap<Live, TaskState>();
+  private readonly reported = new WeakMap<TaskAttempt, TaskState>();
   /** When a task was first shown running, while it is. */
-  private readonly runningSince = new WeakMap<Live, Steady>();
+  private readonly runningSince = new WeakMap<TaskAttempt, SteadyMs>();
 
   constructor(
-    private readonly state: State,
+    private readonly state: ClusterState,
     private readonly clock: Clock,
   ) {}
 
@@ -26,7 +26,7 @@
   }
 
   /** When a task was first shown running; null while it is not. */
-  startedAt(live: Live): Steady | null {
+  startedAt(live: TaskAttempt): SteadyMs | null {
     return this.runningSince.get(live) ?? null;
   }
 
@@ -38,17 +38,17 @@
   }
 
   /** Whether a task only waits for the rest of its gang. */
-  waitsForGang(live: Live): boolean {
+  waitsForGang(live: TaskAttempt): boolean {
     return this.reported.get(live) === 'waiting';
   }
 
   /** Whether a task still waits for its image, as far as is known here. */
-  fetches(live: Live): boolean {
+  fetches(live: TaskAttempt): boolean {
     return (this.reported.get(live) ?? 'fetching') === 'fetching';
   }
 
   /** Whether the worker has shown this attempt to be known to it. */
-  wasReported(live: Live): boolean {
+  wasReported(live: TaskAttempt): boolean {
     return this.reported.has(live);
   }
 }
--- a/src/actors/token-bucket.ts
+++ b/src/actors/token-bucket.ts
@@ -1,11 +1,11 @@
 /** Limits the rate of requests to a service. */
-import type { Steady } from '../core/types.js';
+import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 
 /** Allows `perSecond` requests a second, and a burst of those that were not used before. */
 export class TokenBucket {
   private tokens: number;
-  private refilledAt: Steady;
+  private refilledAt: SteadyMs;
 
   constructor(
     private readonly clock: Clock,
--- a/src/actors/uncertain-answers.ts
+++ b/src/actors/uncertain-answers.ts
@@ -2,7 +2,7 @@
  * How long a node whose lock is not certain may go on answering reports. Each answer renews a worker's lease, and
  * with it the tasks of jobs that another leader may have confirmed as cancelled.
  */
-import type { Steady } from '../core/types.js';
+import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { PeerStatus } from '../io/peers.js';
 import type { Settings } from '../wire/settings.js';
@@ -14,7 +14,7 @@
 
 export class UncertainAnswers {
   /** When each other node was asked the question to which it answered that it has not led since. */
-  private readonly vouchedAt = new Map<string, Steady>();
+  private readonly vouchedAt = new Map<string, SteadyMs>();
 
   constructor(
     private readonly lock: Lock,
@@ -28,7 +28,7 @@
   }
 
   /** A peer answered a question put at that time: it has not led since `noOtherLedUntil`, and is not about to. */
-  vouch(status: PeerStatus, askedAt: Steady): void {
+  vouch(status: PeerStatus, askedAt: SteadyMs): void {
     if (status.term > (this.lock.holding?.term ?? 0) || status.takingOver) return;
     // A node that came up later knows nothing of what its former run did.
     const remembersFrom = this.clock.steady() - status.remembersMs * (1 - DRIFT);
--- a/src/actors/user-requests.ts
+++ b/src/actors/user-requests.ts
@@ -81,8 +81,12 @@
   /** The number of the next record. Guards older answers: only a leader that holds its lock knows it. */
   private async answerPosition(): Promise<PeerAnswer> {
     const { follower, leading, lock } = this.options;
-    const ok = (await leading()?.log.settled(SETTLE_MS)) === true && lock.certain();
-    return { status: ok ? 200 : 503, body: JSON.stringify({ next: follower.state.next }), retryAfter: 0 };
+    const ok = (await leading()?.log.whenSettled(SETTLE_MS)) === true && lock.certain();
+    return {
+      status: ok ? 200 : 503,
+      body: JSON.stringify({ next: follower.state.nextRecord }),
+      retryAfter: 0,
+    };
   }
 
   private askHere({ kind, job, spec }: UserAsk): Promise<Reply> | null {
@@ -108,7 +112,7 @@
     if (!this.options.otherLeader()) return null;
     const { follower } = this.options;
     const next = await this.positions.get();
-    if (next === null || !(await follower.reaches(next, REACH_MS))) return null;
+    if (next === null || !(await follower.waitForRecord(next, REACH_MS))) return null;
     return standing(follower.state, job, (known) => known.live.size) ?? noSuchJob;
   }
 
@@ -124,7 +128,7 @@
   private async readFromLog({ kind, job }: UserAsk): Promise<Reply | null> {
     const { follower } = this.options;
     const isKnown = kind === 'submit' && follower.state.jobs.has(job);
-    if ((kind !== 'show' && !isKnown) || !(await follower.fresh())) return null;
+    if ((kind !== 'show' && !isKnown) || !(await follower.readLatest())) return null;
     return standing(follower.state, job, (known) => known.live.size) ?? (isKnown ? null : noSuchJob);
   }
 }
--- a/src/actors/worker-reach.ts
+++ b/src/actors/worker-reach.ts
@@ -2,7 +2,7 @@
  * Whether a leader that no worker reaches should give the lock away: only to a peer that is alive and that workers
  * do reach.
  */
-import type { Steady, Term } from '../core/types.js';
+import type { SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { HeardStatus } from '../io/peers.js';
 import type { ReachClaim } from '../wire/keys.js';
@@ -27,7 +27,7 @@
 }
 
 export class WorkerReach {
-  private betterReachedSince: Steady | null = null;
+  private betterReachedSince: SteadyMs | null = null;
   /** The latest claim seen of each peer that can't be heard, and how often it changed since workers fell silent. */
   private claimsReadAt = -Infinity;
   private readonly claimed = new Map<string, { stamp: number; changes: number }>();
--- a/src/actors/worker-view.ts
+++ b/src/actors/worker-view.ts
@@ -1,11 +1,11 @@
 /** What a leader knows of one worker in one of its sessions. */
-import type { Seen } from '../core/recovery.js';
-import type { Fence, Steady, WorkerReport } from '../core/types.js';
+import type { ObservedWorker } from '../core/recovery.js';
+import type { Fence, SteadyMs, WorkerReport } from '../core/types.js';
 import { UnsettledCalls } from '../core/unsettled-calls.js';
 
-export interface WorkerView extends Seen {
+export interface WorkerView extends ObservedWorker {
   /** When it was last heard. */
-  heardAt: Steady;
+  heardAt: SteadyMs;
   /** What this worker is sent from now on goes under this fence: all under lower ones is void. */
   fence: Fence;
   /** This worker has seen our term, so nothing of an earlier one reaches it any more. */
@@ -14,7 +14,7 @@
   quietAt: number | null;
 }
 
-const NEVER = -Infinity as Steady;
+const NEVER = -Infinity as SteadyMs;
 
 /**
  * The view of a worker's new session. Calls to an earlier session carry its number, so the worker refuses them:
@@ -26,7 +26,7 @@
   fence: former?.fence ?? (0 as Fence),
   knowsTerm: false,
   quietAt: null,
-  calls: new UnsettledCalls(),
+  unsettledCalls: new UnsettledCalls(),
   startedInAnswer: new Map(),
 });
 
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -2,9 +2,9 @@
  * Hears the workers of one leader, and tells them what the log says. Commands follow from committed state and a
  * worker's own last report; they travel in the answer to its next report, and in a direct call before that.
  */
-import { attemptKey, commands, holdsCancelled, stopsOfCancelled } from '../core/recovery.js';
-import { isUp, type Job, type Live, type Machine } from '../core/model.js';
-import type { State } from '../core/state.js';
+import { attemptKey, commandsForWorker, hasCancelledTasks, stopsForCancelledJobs } from '../core/recovery.js';
+import { isAvailable, type Job, type TaskAttempt, type Machine } from '../core/model.js';
+import type { ClusterState } from '../core/state.js';
 import type { Command, Fence, JobId, MachineId, Term, WorkerReport } from '../core/types.js';
 import type { AttemptKey } from '../core/unsettled-calls.js';
 import type { Clock } from '../io/clock.js';
@@ -38,7 +38,7 @@
   | { kind: 'tick' };
 
 export interface WorkersOptions {
-  state: State;
+  state: ClusterState;
   log: LogActor;
   call: HttpCall;
   clock: Clock;
@@ -73,11 +73,11 @@
 
 /** Only the answer to a report forgets, since a direct call may be carried out late. */
 const mayGoDirectly = (order: Command, view: WorkerView): boolean =>
-  order.op === 'stop' || (order.op === 'start' && view.calls.size < MOST_UNSETTLED_CALLS);
+  order.op === 'stop' || (order.op === 'start' && view.unsettledCalls.size < MOST_UNSETTLED_CALLS);
 
 export class WorkersActor extends Actor<WorkerMessage> {
   readonly progress: TaskProgress;
-  private readonly state: State;
+  private readonly state: ClusterState;
   /** What was heard of each worker. */
   readonly intake: ReportIntake;
   private readonly pace: NodePace;
@@ -115,7 +115,7 @@
   }
 
   /** Whether a task's end was shown, though it may not be in a record yet. */
-  hasReportedEnd(live: Live): boolean {
+  hasReportedEnd(live: TaskAttempt): boolean {
     return this.facts.hasEnd(live);
   }
 
@@ -164,7 +164,10 @@
     const machine = this.state.machines.get(report.machine);
     // Guards ran_cancelled: whatever renews a lease carries the stops of cancelled jobs.
     if (!isCertain || view.report !== report)
-      return { fence: view.fence, orders: machine ? stopsOfCancelled(this.state, machine, view.report) : [] };
+      return {
+        fence: view.fence,
+        orders: machine ? stopsForCancelledJobs(this.state, machine, view.report) : [],
+      };
     const orders = this.commandsFor(view);
     this.calls.waitNoMore(report.machine);
     for (const key of startsOf(orders)) view.startedInAnswer.set(key, report.seq);
@@ -175,14 +178,14 @@
 
   /** Whether a worker's next report needs no look as long as it repeats the last and nothing changes. */
   private callsForNothing(view: WorkerView, orders: readonly Command[]): boolean {
-    const isSettled = view.calls.size === 0 && view.startedInAnswer.size === 0;
+    const isSettled = view.unsettledCalls.size === 0 && view.startedInAnswer.size === 0;
     const fenceIsShown = view.fence <= view.report.fence;
     return orders.length === 0 && isSettled && fenceIsShown && view.knowsTerm && this.isReconciled();
   }
 
   private logAnswer(view: WorkerView, orders: Command[]): void {
     const { machine, session, seq } = view.report;
-    const unsettled = view.calls.size;
+    const unsettled = view.unsettledCalls.size;
     this.options.logger.debug(
       { machine, session, seq, fence: view.fence, unsettled, orders },
       'report answered',
@@ -190,7 +193,11 @@
   }
 
   private commandsFor(view: WorkerView): Command[] {
-    const { orders, unsent, above } = commands(this.state, view, this.isReconciled());
+    const {
+      commands: orders,
+      undeliveredStarts: unsent,
+      fenceToExceed: above,
+    } = commandsForWorker(this.state, view, this.isReconciled());
     if (above !== null) this.raiseFence(view, above);
     if (unsent.length > 0 && view.knowsTerm) this.facts.tellNeverStarted(unsent);
     if (this.cancelling.size === 0) return orders;
@@ -207,7 +214,10 @@
     view.fence = (above + 1) as Fence;
     this.fencesRaised++;
     const { machine } = view.report;
-    this.options.logger.debug({ machine, fence: view.fence, unsettled: view.calls.size }, 'fence raised');
+    this.options.logger.debug(
+      { machine, fence: view.fence, unsettled: view.unsettledCalls.size },
+      'fence raised',
+    );
   }
 
   /** Calls a worker directly if it is due commands that may leave now. */
@@ -216,7 +226,7 @@
     if (!machine?.addr || this.stopped) return;
     if (this.inCall.has(id)) return void this.callAgain.add(id);
     const view = this.intake.views.get(id);
-    const isUrgent = holdsCancelled(machine);
+    const isUrgent = hasCancelledTasks(machine);
     const mayTellAll = this.options.isCertain() && !machine.drop && view !== undefined;
     if (!mayTellAll && !isUrgent) return;
     // The answer to the machine's next report carries the same at a fraction of the cost.
@@ -227,7 +237,7 @@
     const orders = mayTellAll ? this.commandsFor(view).filter((order) => mayGoDirectly(order, view)) : [];
     if (isUrgent && orders.length === 0) {
       const report = view?.report.session === machine.session ? view.report : null;
-      orders.push(...stopsOfCancelled(this.state, machine, report));
+      orders.push(...stopsForCancelledJobs(this.state, machine, report));
     }
     const hasFenceToShow = view?.knowsTerm && view.fence > view.report.fence;
     if (orders.length > 0 || hasFenceToShow) this.sendCommands(machine, view, orders);
@@ -242,11 +252,11 @@
     const number = this.calls.send(call, (answer) => {
       // Guards against a worker that is never called again, whatever became of its session meanwhile.
       this.inCall.delete(machine.id);
-      if (this.takeAnswer(machine, answer)) view?.calls.answered(number);
+      if (this.takeAnswer(machine, answer)) view?.unsettledCalls.answered(number);
       else if (view && attempts.size > 0) this.raiseFence(view, fence);
       if (this.callAgain.delete(machine.id)) this.callWithCommands(machine.id);
     });
-    if (attempts.size > 0) view?.calls.sent({ number, fence, attempts });
+    if (attempts.size > 0) view?.unsettledCalls.sent({ number, fence, attempts });
   }
 
   /** Takes the report that answers a direct call; false when the call may not have been dealt with. */
@@ -265,7 +275,7 @@
     // Guards ran_cancelled: stops of cancelled jobs go out again until a report shows the end, certain
     // lock or not. They carry the term, so a former leader's answers hold the task no longer.
     for (const machine of this.state.machines.values())
-      if (holdsCancelled(machine)) this.callWithCommands(machine.id);
+      if (hasCancelledTasks(machine)) this.callWithCommands(machine.id);
     // Most come by themselves within a report's time, when a new leader has the most to do.
     if (this.firstReports.periodIsOver()) this.introduce();
   }
@@ -276,7 +286,7 @@
       if (!this.calls.isFree || this.pace.isBehind()) return;
       const { id, addr: address, session } = machine;
       const view = this.intake.views.get(id);
-      if (!isUp(machine) || !address || view?.knowsTerm || this.inCall.has(id)) continue;
+      if (!isAvailable(machine) || !address || view?.knowsTerm || this.inCall.has(id)) continue;
       if (!this.introductions.isDue(id)) continue;
       const call = { machine: id, address, session, fence: view?.fence ?? (0 as Fence), commands: [] };
       this.calls.send(call, (answer) => void this.takeAnswer(machine, answer));
--- a/src/actors/write-copies.ts
+++ b/src/actors/write-copies.ts
@@ -7,7 +7,7 @@
 /** Copies whose answers are waited for at once. */
 const MOST_OPEN = 4;
 /** An answer is waited for as long as that many copies take. */
-export const COPY_ANSWER_MS = REPEAT_MS * MOST_OPEN;
+export const COPY_TIMEOUT_MS = REPEAT_MS * MOST_OPEN;
 
 type Conclusion = Exclude<TxnResult, { r: 'unknown' }>;
 
@@ -15,7 +15,7 @@
  * Guards log writes against answers that take long: a copy's answer counts though a later copy was sent. Giving the
  * first one up would let no write get through while every answer takes longer than the repeat.
  */
-export class WriteCopies {
+export class HedgedTransaction {
   private open = 0;
   private readonly conclusions: Conclusion[] = [];
   private wake: (() => void) | null = null;
--- a/src/cli/jobs.ts
+++ b/src/cli/jobs.ts
@@ -1,7 +1,7 @@
 /** The commands that ask a node about jobs, and the one that shows what the state service holds. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
-import { unpack } from '../actors/snapshot.js';
+import { stateFromChunks } from '../actors/snapshot.js';
 import { dumpState } from '../core/state-dump.js';
 import type { LogRecord } from '../core/types.js';
 import { httpCaller, type HttpAnswer } from '../io/http-client.js';
@@ -69,7 +69,7 @@
   const records = all.items
     .filter((i) => i.key.startsWith(RECORDS))
     .map((i) => ({ no: recordOf(i.key), ...(i.value as LogRecord) }));
-  const folded = head ? unpack(at, head) : null;
+  const folded = head ? stateFromChunks(at, head) : null;
   if (json) {
     const snapshot = folded ? dumpState(folded) : null;
     process.stdout.write(
@@ -80,7 +80,7 @@
     process.stdout.write(`leader: ${leader ? `${leader.node}, term ${leader.term}` : 'none'}\n`);
     if (folded)
       process.stdout.write(
-        `snapshot up to record ${head!.upto}: ${folded.jobs.size} jobs, ${folded.finals.size} over, ${folded.machines.size} machines\n`,
+        `snapshot up to record ${head!.upto}: ${folded.jobs.size} jobs, ${folded.outcomes.size} over, ${folded.machines.size} machines\n`,
       );
     for (const r of records)
       process.stdout.write(
--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -1,19 +1,19 @@
 import { chunked } from './chunked.js';
 import type { PlacementResult } from './placement.js';
 import { meetsConstraints, isRestartCritical, slotCount } from './rooms.js';
-import type { Live, Machine } from './model.js';
-import type { State } from './state.js';
+import type { TaskAttempt, Machine } from './model.js';
+import type { ClusterState } from './state.js';
 import { fitsType, soleFitTypes } from './fit.js';
-import { avoids } from './model.js';
-import type { Entry, MachineId, MachineType, Wall } from './types.js';
+import { avoidsMachine } from './model.js';
+import type { LogEntry, MachineId, MachineType, WallMs } from './types.js';
 import { addTo, fits, type Resources } from './resources.js';
 import type { Policy } from './policy.js';
-import { rank } from './types.js';
+import { priorityRank } from './types.js';
 
 export interface CapacityInput {
-  state: State;
+  state: ClusterState;
   zones: readonly string[];
-  now: Wall;
+  now: WallMs;
   unplaced: PlacementResult['unplaced'];
   /** Until when no more is asked of a type, zone and kind that had none to give. */
   isBackedOff: (type: string, zone: string, spot: boolean) => boolean;
@@ -26,13 +26,13 @@
   /** Seconds in which jobs of a class should be done; 0 where their start is what counts. */
   completionObjectiveS: (c: string) => number;
   /** Seconds until a task is likely to be over. */
-  secondsRemaining: (l: Live) => number;
+  secondsRemaining: (l: TaskAttempt) => number;
   /** Seconds without a report. */
   secondsSilent: (m: Machine) => number;
   /** Most machines are silent at once. */
   mostAreSilent: boolean;
   /** A cancelled task that stops have not ended in time. */
-  isOverdue: (l: Live) => boolean;
+  isOverdue: (l: TaskAttempt) => boolean;
   leaseS: number;
   policy: Policy;
 }
@@ -59,22 +59,22 @@
 
 /** How long machines that boot are waited for, by what boots of their type, zone and kind were lately worth. */
 export class Boots {
-  private readonly kinds = new Map<string, { slowest: number; oldest: Wall }>();
+  private readonly kinds = new Map<string, { slowest: number; oldest: WallMs }>();
 
   constructor(
-    private readonly state: State,
-    private readonly now: Wall,
+    private readonly state: ClusterState,
+    private readonly now: WallMs,
   ) {
     for (const m of state.machines.values()) {
       const k = this.kinds.get(kindOf(m)) ?? { slowest: 0, oldest: now };
       this.kinds.set(kindOf(m), k);
-      if (m.session === 0) k.oldest = Math.min(k.oldest, m.hiredAt) as Wall;
+      if (m.session === 0) k.oldest = Math.min(k.oldest, m.hiredAt) as WallMs;
       else if (now - m.upAt < LATELY_MS) k.slowest = Math.max(k.slowest, m.upAt - m.hiredAt);
     }
   }
 
   private nominal(m: Machine): number {
-    return (this.state.types.get(m.type)?.boot ?? 30) * 1000;
+    return (this.state.machineTypes.get(m.type)?.boot ?? 30) * 1000;
   }
 
   /** Whether a machine counts as on its way for work that waits. */
@@ -98,11 +98,11 @@
 const kindOf = (m: { type: string; zone: string; spot: boolean }): string => `${m.type}|${m.zone}|${m.spot}`;
 
 /** What to rent for the tasks that found no room, machines on their way counted first. */
-export function planRentals(input: CapacityInput): Entry[] {
+export function planRentals(input: CapacityInput): LogEntry[] {
   const { state, now, unplaced } = input;
   if (unplaced.length === 0) return [];
   const offers: { t: MachineType; zone: string; spot: boolean }[] = [];
-  for (const t of state.types.values())
+  for (const t of state.machineTypes.values())
     for (const zone of t.zones)
       for (const spot of [true, false])
         if (input.zones.includes(zone) && !input.isBackedOff(t.name, zone, spot))
@@ -126,21 +126,21 @@
   const held = new Map<string, number>();
   const boots = new Boots(state, now);
   for (const m of state.machines.values()) {
-    const t = state.types.get(m.type);
+    const t = state.machineTypes.get(m.type);
     held.set(m.zone, (held.get(m.zone) ?? 0) + (t?.cpus ?? 0));
     if (t && m.session === 0 && !m.drop && boots.awaited(m)) group(t, m.zone, m.spot, false);
   }
-  for (const h of state.hires.values()) {
-    const t = state.types.get(h.type);
+  for (const h of state.pendingRentals.values()) {
+    const t = state.machineTypes.get(h.type);
     if (t) group(t, h.zone, h.spot, false, h.n);
   }
   // A place that comes free before a new machine could be up is better waited for.
   const least: Resources = { cpus: Infinity, gpus: Infinity, mem: Infinity };
   for (const { job } of unplaced)
     for (const k of ['cpus', 'gpus', 'mem'] as const) least[k] = Math.min(least[k], job.spec[k]);
-  const patient = unplaced.some((u) => rank[u.job.spec.priority] < rank.high);
+  const patient = unplaced.some((u) => priorityRank[u.job.spec.priority] < priorityRank.high);
   for (const m of patient ? input.usable : []) {
-    const t = state.types.get(m.type);
+    const t = state.machineTypes.get(m.type);
     if (!t) continue;
     const r = input.freeResources(m);
     for (const l of m.live) if (input.secondsRemaining(l) < Math.min(t.boot, 20)) addTo(r, l.job.spec);
@@ -168,12 +168,12 @@
   const rented = new Map<string, { of: Bin; n: number }>();
   for (const { job, tasks, zone } of unplaced) {
     const s = job.spec;
-    const types = [...state.types.values()].filter((t) => fitsType(s, t));
-    const waits = rank[s.priority] < rank.high;
+    const types = [...state.machineTypes.values()].filter((t) => fitsType(s, t));
+    const waits = priorityRank[s.priority] < priorityRank.high;
     const fragile = isRestartCritical(job, now, input.completionObjectiveS(s.class));
     const may = (b: Bin): boolean =>
       b.count > 0 &&
-      (b.soon === null || (waits && !avoids(job, b.soon))) &&
+      (b.soon === null || (waits && !avoidsMachine(job, b.soon))) &&
       fits(b, s) &&
       meetsConstraints(job, { type: b.type.name, zone: b.zone, spot: b.spot });
     const onSpot = s.spot && input.policy.rentSpot(s);
@@ -237,7 +237,7 @@
     rented.set(key, r);
   }
   return [...rented.values()].flatMap(({ of: b, n }) => {
-    const out: Entry[] = [];
+    const out: LogEntry[] = [];
     for (let left = Math.min(n, MOST_RENTED); left > 0; left -= 50)
       out.push({
         e: 'hire',
@@ -255,7 +255,7 @@
 const MOST_RENTED = 150;
 
 /** Machines to give back: silent, never up, set aside or idle for too long. */
-export function planReturns(input: CapacityInput): Entry[] {
+export function planReturns(input: CapacityInput): LogEntry[] {
   const { state, now } = input;
   const by = new Map<string, MachineId[]>();
   const add = (why: string, m: Machine): void => {
@@ -266,7 +266,7 @@
   const boots = new Boots(state, now);
   for (const m of state.machines.values()) {
     if (m.drop) continue;
-    const of = { zone: m.zone, spot: m.spot, type: state.types.get(m.type) };
+    const of = { zone: m.zone, spot: m.spot, type: state.machineTypes.get(m.type) };
     if (m.session === 0) {
       if (boots.neverUp(m)) add('never up', m);
       continue;
@@ -288,5 +288,5 @@
     )
       add('idle', m);
   }
-  return [...by].flatMap(([why, all]) => chunked(all, 200).map((m): Entry => ({ e: 'drop', m, why })));
+  return [...by].flatMap(([why, all]) => chunked(all, 200).map((m): LogEntry => ({ e: 'drop', m, why })));
 }
--- a/src/core/orderly-stops.ts
+++ b/src/core/orderly-stops.ts
@@ -1,16 +1,16 @@
 /** Stops that no other work asks for: of tasks whose machine is about to go, and of gangs that can't start. */
-import { BROKEN, type Job, type Live, type Machine } from './model.js';
-import type { State } from './state.js';
-import type { Entry } from './types.js';
+import { GANG_BROKEN, type Job, type TaskAttempt, type Machine } from './model.js';
+import type { ClusterState } from './state.js';
+import type { LogEntry } from './types.js';
 
 /** Seconds that a task has on top of the time that it needs to save. */
 const GRACE_MARGIN_S = 1;
 
-type StopEntry = Extract<Entry, { e: 'stop' }>;
+type StopEntry = Extract<LogEntry, { e: 'stop' }>;
 
 /** Tasks that can save are stopped with time to do so when their machine got a notice, gangs as a whole. */
-export function stopsForNotices(state: State, hasNotice: (machine: Machine) => boolean): Entry[] {
-  const stops: Entry[] = [];
+export function stopsForNotices(state: ClusterState, hasNotice: (machine: Machine) => boolean): LogEntry[] {
+  const stops: LogEntry[] = [];
   const handled = new Set<Job>();
   for (const machine of state.machines.values()) {
     if (machine.drop || !hasNotice(machine)) continue;
@@ -24,7 +24,7 @@
 }
 
 /** All tasks of a gang; of an array those on the machine that are not being stopped yet. */
-function tasksToStop({ job }: Live, machine: Machine): number[] {
+function tasksToStop({ job }: TaskAttempt, machine: Machine): number[] {
   if (job.spec.gang) return [...job.live.keys()];
   return [...machine.live].filter((other) => other.job === job && !other.stop).map((other) => other.task);
 }
@@ -37,13 +37,16 @@
  * Tasks that wait for a gang which lost one: they would wait on for the whole gang wait time, and the next
  * attempt with them. Those that still fetch go on, for the next attempt needs their images too.
  */
-export function stopsOfBrokenGangs(jobs: Iterable<Job>, waitsForGang: (live: Live) => boolean): Entry[] {
-  const stops: Entry[] = [];
+export function stopsForBrokenGangs(
+  jobs: Iterable<Job>,
+  waitsForGang: (live: TaskAttempt) => boolean,
+): LogEntry[] {
+  const stops: LogEntry[] = [];
   for (const job of jobs) {
     if (!job.spec.gang || !job.broken) continue;
     const waiting = [...job.live.values()].filter((live) => !live.stop && waitsForGang(live));
     const tasks = waiting.map((live) => live.task);
-    if (tasks.length > 0) stops.push({ e: 'stop', job: job.spec.id, p: tasks, grace: 0, why: BROKEN });
+    if (tasks.length > 0) stops.push({ e: 'stop', job: job.spec.id, p: tasks, grace: 0, why: GANG_BROKEN });
   }
   return stops;
 }
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -3,21 +3,21 @@
 import { tasksWithinLimit, type Claim } from './claims.js';
 import { allocate, type Allocation, type Random } from './fill.js';
 import { fitsType, soleFitTypes } from './fit.js';
-import { avoids, type Job, type Live, type Machine } from './model.js';
+import { avoidsMachine, type Job, type TaskAttempt, type Machine } from './model.js';
 import { reserve } from './reserve.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { constraintKey, delaysGangFetch, hasImage, InfeasibleRequests, isMultiTaskGang } from './rooms.js';
 import { isRestartCritical, meetsConstraints, slotCount, type Candidate } from './rooms.js';
-import type { State } from './state.js';
-import { EPS, type Entry, type MachineId, type Team, type Wall } from './types.js';
-import { countWaiting, waitingTasks } from './waiting-tasks.js';
+import type { ClusterState } from './state.js';
+import { RESOURCE_EPSILON, type LogEntry, type MachineId, type Team, type WallMs } from './types.js';
+import { countWaitingTasks, waitingTasks } from './waiting-tasks.js';
 import { candidateZones, tasksPerZone } from './zones.js';
 
 export interface PlacementInput {
-  state: State;
+  state: ClusterState;
   claims: readonly Claim[];
   teams: readonly Team[];
-  now: Wall;
+  now: WallMs;
   random: Random;
   sampleSize: number;
   /** Machines whose workers reported lately and that may take work. */
@@ -25,7 +25,7 @@
   /** Seconds in which jobs of a class should be done; 0 where their start is what counts. */
   completionObjectiveS: (c: string) => number;
   /** Whether a task still waits for its image. */
-  isFetching: (l: Live) => boolean;
+  isFetching: (l: TaskAttempt) => boolean;
   /** Whether more of a type, zone and kind may be had. */
   canRent: (type: string, zone: string, spot: boolean) => boolean;
   /** Machines that the last round held or emptied for a gang: other work goes elsewhere if it can. */
@@ -44,7 +44,7 @@
 }
 
 export interface PlacementResult {
-  entries: Entry[];
+  entries: LogEntry[];
   starts: number;
   /** Job by job in order of claim. */
   unplaced: Unplaced[];
@@ -81,7 +81,7 @@
   private readonly use: Map<string, { cpus: number; gpus: number }>;
   /** Machines that take work, by type, zone and kind. */
   private readonly machines = new Map<string, number>();
-  private readonly entries: Entry[] = [];
+  private readonly entries: LogEntry[] = [];
   private readonly unplaced: Unplaced[] = [];
   private readonly keep = new Set<Machine>();
   private readonly waiting = new Set<Machine>();
@@ -92,9 +92,9 @@
   constructor(private readonly input: PlacementInput) {
     this.rooms = roomsOf(input);
     this.roomOf = new Map(this.rooms.map((room) => [room.machine.id, room]));
-    this.free = this.rooms.filter((room) => room.cpus > EPS);
-    this.freeing = this.rooms.filter((room) => room.releasing.cpus > EPS);
-    this.use = new Map([...input.state.teamUse].map(([team, used]) => [team, { ...used }]));
+    this.free = this.rooms.filter((room) => room.cpus > RESOURCE_EPSILON);
+    this.freeing = this.rooms.filter((room) => room.releasing.cpus > RESOURCE_EPSILON);
+    this.use = new Map([...input.state.teamUsage].map(([team, used]) => [team, { ...used }]));
     for (const { machine: m } of this.rooms) {
       const kind = kindOf(m.type, m.zone, m.spot);
       this.machines.set(kind, (this.machines.get(kind) ?? 0) + 1);
@@ -116,7 +116,7 @@
 
   private placeClaim({ job, guaranteed }: Claim): void {
     this.keepPlaces(job);
-    const waiting = countWaiting(this.input.state, job);
+    const waiting = countWaitingTasks(this.input.state, job);
     if (waiting === 0 || job.notBefore > this.input.now) return;
     const want = this.mayStart(job, waiting);
     if (want === 0) return;
@@ -155,7 +155,7 @@
   }
 
   private mayTake(job: Job, room: Candidate): boolean {
-    return meetsConstraints(job, room.machine) && !avoids(job, room.machine.id);
+    return meetsConstraints(job, room.machine) && !avoidsMachine(job, room.machine.id);
   }
 
   private fitting(job: Job): Candidate[] {
@@ -202,7 +202,7 @@
     this.starts += placed.length;
     for (const part of chunked(placed, STARTS_PER_ENTRY))
       this.entries.push({ e: 'start', job: spec.id, p: part });
-    this.free = this.free.filter((room) => room.cpus > EPS);
+    this.free = this.free.filter((room) => room.cpus > RESOURCE_EPSILON);
   }
 
   private noteStart(room: Candidate, job: Job): void {
@@ -224,7 +224,7 @@
     this.isDraining ||= drains;
     const mine = (room: Candidate): boolean => this.mayTake(job, room);
     const drainable = (room: Candidate): boolean => {
-      const type = state.types.get(room.machine.type);
+      const type = state.machineTypes.get(room.machine.type);
       return mine(room) && type !== undefined && fitsType(spec, type);
     };
     const reserved = reserve(
@@ -236,7 +236,7 @@
       (zone) => this.couldHold(job, zone),
       this.waiting,
     );
-    if (drains) this.free = this.free.filter((room) => room.cpus > EPS);
+    if (drains) this.free = this.free.filter((room) => room.cpus > RESOURCE_EPSILON);
     const tasks = left - reserved.n;
     if (tasks > 0) this.unplaced.push({ job, tasks, guaranteed, zone: reserved.zone });
   }
@@ -244,7 +244,7 @@
   /** How many of a job's tasks a zone's machines would hold if all were empty; no end while more can be rented. */
   private couldHold(job: Job, zone: string): number {
     let tasks = 0;
-    for (const type of this.input.state.types.values()) {
+    for (const type of this.input.state.machineTypes.values()) {
       if (!fitsType(job.spec, type) || !type.zones.includes(zone)) continue;
       for (const spot of [true, false]) {
         if (!meetsConstraints(job, { type: type.name, zone, spot })) continue;
@@ -260,7 +260,7 @@
   const scarce = soleFitTypes(input.state);
   const rooms: Candidate[] = [];
   for (const machine of input.usable) {
-    const type = input.state.types.get(machine.type);
+    const type = input.state.machineTypes.get(machine.type);
     if (!type) continue;
     const room: Candidate = {
       machine,
@@ -277,7 +277,7 @@
       isOccupied: machine.live.size > 0,
     };
     // Work follows what has room or will have: the tasks of all other machines are not looked at.
-    if (machine.stopping > 0 || machine.cpus + EPS < type.cpus) noteTasks(room, input);
+    if (machine.stopping > 0 || machine.cpus + RESOURCE_EPSILON < type.cpus) noteTasks(room, input);
     rooms.push(room);
   }
   return rooms;
@@ -289,7 +289,10 @@
     const { spec } = live.job;
     if (live.stop) addTo(room.releasing, spec);
     else if (fetching(live)) {
-      room.fetches.set(spec.image, Math.max(1, spec.imageGb / room.fetchRate - (now - live.at) / 1000));
+      room.fetches.set(
+        spec.image,
+        Math.max(1, spec.imageGb / room.fetchRate - (now - live.startedAt) / 1000),
+      );
       room.isGangFetching ||= isMultiTaskGang(spec);
     }
   }
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -4,13 +4,13 @@
 import { meetsConstraints, InfeasibleRequests, constraintKey } from './rooms.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { fitsType } from './fit.js';
-import { avoids, type Job, type Live, type Machine } from './model.js';
-import type { State } from './state.js';
-import type { Entry, Team } from './types.js';
-import { EPS, rank } from './types.js';
+import { avoidsMachine, type Job, type TaskAttempt, type Machine } from './model.js';
+import type { ClusterState } from './state.js';
+import type { LogEntry, Team } from './types.js';
+import { RESOURCE_EPSILON, priorityRank } from './types.js';
 
 export interface PreemptionInput {
-  state: State;
+  state: ClusterState;
   claims: readonly Claim[];
   teams: readonly Team[];
   usable: Machine[];
@@ -19,13 +19,13 @@
   freeResources: PlacementResult['freeResources'];
   releasingResources: PlacementResult['releasingResources'];
   /** Seconds since the task was first shown running; null before that. */
-  secondsRun: (l: Live) => number | null;
+  secondsRun: (l: TaskAttempt) => number | null;
   /** Only claims of at least this rank stop the work of a lower one. */
   minRank: number;
 }
 
 export interface PreemptionResult {
-  entries: Entry[];
+  entries: LogEntry[];
   /** What finds no room even where tasks are being stopped. */
   unplaced: PlacementResult['unplaced'];
 }
@@ -35,7 +35,7 @@
 }
 
 /** What stopping a task throws away, in seconds of a CPU. */
-function loss(l: Live, ran: number | null): number {
+function loss(l: TaskAttempt, ran: number | null): number {
   const s = l.job.spec;
   if (ran === null) return s.cpus * 2;
   const lost = s.checkpoint > 0 ? s.save : Math.max(ran, 1);
@@ -54,14 +54,17 @@
   input.claims.forEach((c, i) => order.set(c.job, { at: i, guaranteed: c.guaranteed }));
   const beyond = new Set<string>();
   for (const t of teams) {
-    const u = state.teamUse.get(t.name);
-    if (u && (u.cpus > t.cpus + EPS || u.gpus > t.gpus + EPS)) beyond.add(t.name);
+    const u = state.teamUsage.get(t.name);
+    if (u && (u.cpus > t.cpus + RESOURCE_EPSILON || u.gpus > t.gpus + RESOURCE_EPSILON)) beyond.add(t.name);
   }
   const may = (job: Job, guaranteed: boolean, v: Job): boolean => {
     const a = order.get(job);
     const b = order.get(v);
     if (!a || !b || b.at <= a.at || (v.spec.gang && v.spec.tasks > 1)) return false;
-    if (rank[v.spec.priority] < rank[job.spec.priority] && rank[job.spec.priority] >= input.minRank)
+    if (
+      priorityRank[v.spec.priority] < priorityRank[job.spec.priority] &&
+      priorityRank[job.spec.priority] >= input.minRank
+    )
       return true;
     return guaranteed && !b.guaranteed && v.spec.team !== job.spec.team && beyond.has(v.spec.team);
   };
@@ -71,11 +74,11 @@
   }));
   const running = input.claims.filter((c) => c.job.live.size > 0);
   // Where nothing is being stopped there is no more room than the round has just sought in vain.
-  const freeing = soon.filter((r) => input.releasingResources(r.m).cpus > EPS);
+  const freeing = soon.filter((r) => input.releasingResources(r.m).cpus > RESOURCE_EPSILON);
   /** Needs of like claims that nothing helped: a later one of the kind may stop no more than they. */
   const inVain = new InfeasibleRequests();
   const victims = new Map<Job, Set<number>>();
-  const chosen = new Set<Live>();
+  const chosen = new Set<TaskAttempt>();
   const left: PlacementResult['unplaced'] = [];
 
   for (const u of input.unplaced) {
@@ -91,11 +94,11 @@
     let zone = u.zone;
     if (s.oneZone) for (const l of job.live.values()) zone = l.machine.zone;
     /** What must be stopped here for one more task; null when nothing that may be stopped helps. */
-    const cost = (r: Soon): { r: Soon; v: Live[]; cost: number } | null => {
+    const cost = (r: Soon): { r: Soon; v: TaskAttempt[]; cost: number } | null => {
       if (fits(r, s)) return { r, v: [], cost: 0 };
       if (s.spread || lesser.size === 0) return null;
       const got = { cpus: r.cpus, gpus: r.gpus, mem: r.mem };
-      const lower: Live[] = [];
+      const lower: TaskAttempt[] = [];
       for (const l of r.m.live) {
         if (l.stop || !lesser.has(l.job) || chosen.has(l)) continue;
         lower.push(l);
@@ -105,7 +108,7 @@
       const stoppable = lower.map((l) => ({ l, cost: loss(l, input.secondsRun(l)) }));
       stoppable.sort((a, b) => a.cost / a.l.job.spec.cpus - b.cost / b.l.job.spec.cpus);
       Object.assign(got, { cpus: r.cpus, gpus: r.gpus, mem: r.mem });
-      const v: Live[] = [];
+      const v: TaskAttempt[] = [];
       let sum = r.m.images.has(s.image) ? 0 : s.cpus * 4;
       for (const x of stoppable) {
         if (fits(got, s)) break;
@@ -116,15 +119,15 @@
       return { r, v, cost: sum };
     };
     let missing = u.tasks;
-    const picks: { r: Soon; v: Live[]; cost: number }[] = [];
+    const picks: { r: Soon; v: TaskAttempt[]; cost: number }[] = [];
     // Like tasks are one decision: all machines are ranked once for the job.
-    const types = new Set([...state.types.values()].filter((t) => fitsType(s, t)).map((t) => t.name));
+    const types = new Set([...state.machineTypes.values()].filter((t) => fitsType(s, t)).map((t) => t.name));
     const ranked = (lesser.size > 0 ? soon : freeing)
       .filter(
         (r) =>
           types.has(r.m.type) &&
           meetsConstraints(job, r.m) &&
-          !avoids(job, r.m.id) &&
+          !avoidsMachine(job, r.m.id) &&
           (zone === null || r.m.zone === zone),
       )
       .flatMap((r) => cost(r) ?? [])
@@ -161,7 +164,7 @@
     if (missing > 0) left.push({ ...u, tasks: missing });
   }
   const entries = [...victims].flatMap(([job, tasks]) =>
-    chunked([...tasks], 500).map((p): Entry => ({
+    chunked([...tasks], 500).map((p): LogEntry => ({
       e: 'stop',
       job: job.spec.id,
       p,
--- a/src/core/recovery.ts
+++ b/src/core/recovery.ts
@@ -1,13 +1,13 @@
-import { CANCELLED, type Live, type Machine } from './model.js';
-import type { State } from './state.js';
-import type { Cause, Command, Entry, Fence, JobId, WorkerReport } from './types.js';
+import { JOB_CANCELLED, type TaskAttempt, type Machine } from './model.js';
+import type { ClusterState } from './state.js';
+import type { EndCause, Command, LogEntry, Fence, JobId, WorkerReport } from './types.js';
 import type { AttemptKey, UnsettledCalls } from './unsettled-calls.js';
 
 /** What one worker has shown, as far as this leader has seen it. */
-export interface Seen {
+export interface ObservedWorker {
   report: WorkerReport;
   /** Direct calls with starts that may still be carried out. */
-  calls: UnsettledCalls;
+  unsettledCalls: UnsettledCalls;
   /** Attempts started in the answer to a report, and that report's number: the next report settles them. */
   startedInAnswer: Map<AttemptKey, number>;
 }
@@ -16,13 +16,16 @@
   `${job}/${task}#${attempt}`;
 
 /** The end of one attempt, as an entry of the log holds it. */
-export type TaskEnd = [job: JobId, task: number, attempt: number, cause: Cause, saved: boolean];
+export type TaskEnd = [job: JobId, task: number, attempt: number, cause: EndCause, saved: boolean];
 
 /** The report's facts that the log does not hold yet. */
-export function facts(state: State, r: WorkerReport): { up: Entry | null; ends: TaskEnd[] } {
+export function unrecordedFacts(
+  state: ClusterState,
+  r: WorkerReport,
+): { up: LogEntry | null; ends: TaskEnd[] } {
   const m = state.machines.get(r.machine);
-  const up: Entry | null =
-    (!m || r.session > m.session) && !state.gone.has(r.machine)
+  const up: LogEntry | null =
+    (!m || r.session > m.session) && !state.removedMachines.has(r.machine)
       ? { e: 'up', m: r.machine, addr: r.addr, type: r.type, zone: r.zone, spot: r.spot, s: r.session }
       : null;
   const ends: TaskEnd[] = [];
@@ -35,12 +38,12 @@
   return { up, ends };
 }
 
-export interface Commands {
-  orders: Command[];
+export interface WorkerCommands {
+  commands: Command[];
   /** Starts that were stopped and that no launch will reach any more. */
-  unsent: Live[];
+  undeliveredStarts: TaskAttempt[];
   /** Fences whose launches may be on their way and must not start anything: the worker's next is higher. */
-  above: Fence | null;
+  fenceToExceed: Fence | null;
 }
 
 /**
@@ -48,15 +51,20 @@
  * committed state alone, so a decision is never sent before its record is written, and a new
  * leader resends exactly the starts that the report does not show.
  */
-export function commands(state: State, seen: Seen, mayStart: boolean): Commands {
+export function commandsForWorker(
+  state: ClusterState,
+  seen: ObservedWorker,
+  mayStart: boolean,
+): WorkerCommands {
   const r = seen.report;
   const m = state.machines.get(r.machine);
   const orders: Command[] = [];
-  const unsent: Live[] = [];
+  const unsent: TaskAttempt[] = [];
   let above: Fence | null = null;
   const settle = (fence: Fence): void => void (above = Math.max(above ?? 0, fence) as Fence);
-  if (!m || m.session !== r.session) return { orders, unsent, above };
-  const shown = new Set<Live>();
+  if (!m || m.session !== r.session)
+    return { commands: orders, undeliveredStarts: unsent, fenceToExceed: above };
+  const shown = new Set<TaskAttempt>();
   for (const t of r.tasks) {
     const l = state.jobs.get(t.job)?.live.get(t.task);
     const ours = l !== undefined && l.attempt === t.attempt && l.machine === m;
@@ -67,14 +75,15 @@
     if (t.state === 'exited') {
       // Guards ran_twice and ran_cancelled: forgetting an attempt lets a late start run it again, so the end
       // is recorded first, and no copy of its start may still be on its way, whichever copy was answered.
-      const fence = seen.calls.highestFenceOf(attemptKey(t.job, t.task, t.attempt));
+      const fence = seen.unsettledCalls.highestFenceOf(attemptKey(t.job, t.task, t.attempt));
       if (fence !== null) settle(fence);
       else if (!ours) orders.push({ op: 'forget', ...ref });
     } else if (!ours) orders.push({ op: 'stop', ...ref, grace: 0 });
     else if (l.stop && (t.state !== 'saving' || l.stop.grace === 0))
       orders.push({ op: 'stop', ...ref, grace: l.stop.grace });
   }
-  if (shown.size === m.live.size) return { orders, unsent, above };
+  if (shown.size === m.live.size)
+    return { commands: orders, undeliveredStarts: unsent, fenceToExceed: above };
   for (const l of m.live) {
     if (l.session !== m.session || shown.has(l)) continue;
     const key = attemptKey(l.job.spec.id, l.task, l.attempt);
@@ -85,18 +94,18 @@
     }
     // Guards starts after a confirmed cancellation: a start that may still arrive is neither repeated
     // nor stopped (the worker knows nothing to stop), but made void by a higher fence.
-    const fence = seen.calls.highestFenceOf(key);
+    const fence = seen.unsettledCalls.highestFenceOf(key);
     if (fence !== null) settle(fence);
     else if (!seen.startedInAnswer.has(key) && mayStart) unsent.push(l);
   }
-  return { orders, unsent, above };
+  return { commands: orders, undeliveredStarts: unsent, fenceToExceed: above };
 }
 
 /** Whether a task is stopped because its job was cancelled. */
-export const isCancelled = (l: Live): boolean => l.stop?.why === CANCELLED;
+export const isCancelled = (l: TaskAttempt): boolean => l.stop?.why === JOB_CANCELLED;
 
 /** Whether tasks of cancelled jobs may be on a machine. */
-export function holdsCancelled(m: Machine): boolean {
+export function hasCancelledTasks(m: Machine): boolean {
   if (m.stopping > 0) for (const l of m.live) if (isCancelled(l)) return true;
   return false;
 }
@@ -105,12 +114,12 @@
  * The stops of cancelled jobs: a cancellation in the log is final, so telling of it is no decision, and
  * needs no certain lock. Without a report the log alone says what may be there.
  */
-export function stopsOfCancelled(state: State, m: Machine, r: WorkerReport | null): Command[] {
+export function stopsForCancelledJobs(state: ClusterState, m: Machine, r: WorkerReport | null): Command[] {
   const orders: Command[] = [];
   const exited = new Set<string>();
   for (const t of r?.tasks ?? []) {
     if (t.state === 'exited') exited.add(attemptKey(t.job, t.task, t.attempt));
-    else if (state.finals.get(t.job)?.s === 'cancelled' && !state.jobs.get(t.job)?.live.has(t.task))
+    else if (state.outcomes.get(t.job)?.state === 'cancelled' && !state.jobs.get(t.job)?.live.has(t.task))
       orders.push({ op: 'stop', job: t.job, task: t.task, attempt: t.attempt, grace: 0 });
   }
   if (m.stopping > 0)
--- a/src/core/resources.ts
+++ b/src/core/resources.ts
@@ -1,4 +1,4 @@
-import { EPS } from './types.js';
+import { RESOURCE_EPSILON } from './types.js';
 
 /** What a task takes of its machine, or a machine has to give. */
 export interface Resources {
@@ -8,7 +8,9 @@
 }
 
 export const fits = (room: Resources, need: Resources): boolean =>
-  room.cpus + EPS >= need.cpus && room.gpus + EPS >= need.gpus && room.mem + EPS >= need.mem;
+  room.cpus + RESOURCE_EPSILON >= need.cpus &&
+  room.gpus + RESOURCE_EPSILON >= need.gpus &&
+  room.mem + RESOURCE_EPSILON >= need.mem;
 
 /** Adds to a room, n times over; a negative n takes from it. */
 export function addTo(room: Resources, what: Resources, n = 1): void {
--- a/src/core/rooms.ts
+++ b/src/core/rooms.ts
@@ -1,7 +1,7 @@
 /** What each machine has free in one round, and how well it suits a job. */
 import type { Job, Machine } from './model.js';
 import { fits, type Resources } from './resources.js';
-import { EPS, type JobSpec, type Wall } from './types.js';
+import { RESOURCE_EPSILON, type JobSpec, type WallMs } from './types.js';
 
 export interface Candidate extends Resources {
   machine: Machine;
@@ -83,7 +83,7 @@
  * A job that is in time now and would not be if a task had to start anew: a machine that can be
  * taken away is a bad place for what saves nothing.
  */
-export const isRestartCritical = (j: Job, now: Wall, within: number): boolean => {
+export const isRestartCritical = (j: Job, now: WallMs, within: number): boolean => {
   const left = within - (now - j.at) / 1000;
   const run = j.spec.estimate;
   return j.spec.checkpoint === 0 && within > 0 && left > run && left < 2 * run + 40;
@@ -95,9 +95,9 @@
     0,
     Math.floor(
       Math.min(
-        s.cpus > 0 ? (r.cpus + EPS) / s.cpus : Infinity,
-        s.gpus > 0 ? (r.gpus + EPS) / s.gpus : Infinity,
-        s.mem > 0 ? (r.mem + EPS) / s.mem : Infinity,
+        s.cpus > 0 ? (r.cpus + RESOURCE_EPSILON) / s.cpus : Infinity,
+        s.gpus > 0 ? (r.gpus + RESOURCE_EPSILON) / s.gpus : Infinity,
+        s.mem > 0 ? (r.mem + RESOURCE_EPSILON) / s.mem : Infinity,
       ),
     ),
   );
--- a/src/core/state-dump.ts
+++ b/src/core/state-dump.ts
@@ -1,18 +1,18 @@
 /** A state as JSON and back, for snapshots. */
-import type { Hire, Job } from './model.js';
-import { State } from './state.js';
+import type { RentalRequest, Job } from './model.js';
+import { ClusterState } from './state.js';
 import type { JobId, MachineType } from './types.js';
 
 /** Everything but the derived counts, ready for JSON; a copy, which later records don't change. */
-export function dumpState(state: State): Record<string, unknown> {
+export function dumpState(state: ClusterState): Record<string, unknown> {
   return {
-    next: state.next,
-    marked: state.marked,
-    orders: state.orders,
-    types: [...state.types.values()],
-    hires: [...state.hires.values()],
-    gone: [...state.gone],
-    finals: [...state.finals].map(([id, f]) => [id, f.s === 'done' ? 1 : 0, f.done]),
+    next: state.nextRecord,
+    marked: state.processedUpTo,
+    orders: state.nextJobOrder,
+    types: [...state.machineTypes.values()],
+    hires: [...state.pendingRentals.values()],
+    gone: [...state.removedMachines],
+    finals: [...state.outcomes].map(([id, f]) => [id, f.state === 'done' ? 1 : 0, f.done]),
     machines: [...state.machines.values()].map((m) => ({
       ...m,
       live: undefined,
@@ -28,24 +28,31 @@
       back: [...j.back],
       errorMachines: [...j.errorMachines],
       places: [...j.places],
-      live: [...j.live.values()].map((l) => [l.task, l.attempt, l.machine.id, l.session, l.at, l.stop]),
+      live: [...j.live.values()].map((l) => [
+        l.task,
+        l.attempt,
+        l.machine.id,
+        l.session,
+        l.startedAt,
+        l.stop,
+      ]),
     })),
   };
 }
 
 /** The state that `dumpState` gave. */
-export function loadState(raw: unknown): State {
+export function loadState(raw: unknown): ClusterState {
   // eslint-disable-next-line @typescript-eslint/no-explicit-any -- our own dump, read back
   const d = raw as any;
-  const s = new State();
-  s.next = d.next;
-  s.marked = d.marked;
-  s.orders = d.orders;
-  s.types = new Map(d.types.map((t: MachineType) => [t.name, t]));
-  s.hires = new Map(d.hires.map((h: Hire) => [h.name, h]));
-  s.gone = new Set(d.gone);
-  s.finals = new Map(
-    d.finals.map(([id, f, done]: [JobId, number, number]) => [id, { s: f ? 'done' : 'cancelled', done }]),
+  const s = new ClusterState();
+  s.nextRecord = d.next;
+  s.processedUpTo = d.marked;
+  s.nextJobOrder = d.orders;
+  s.machineTypes = new Map(d.types.map((t: MachineType) => [t.name, t]));
+  s.pendingRentals = new Map(d.hires.map((h: RentalRequest) => [h.name, h]));
+  s.removedMachines = new Set(d.gone);
+  s.outcomes = new Map(
+    d.finals.map(([id, f, done]: [JobId, number, number]) => [id, { state: f ? 'done' : 'cancelled', done }]),
   );
   for (const m of d.machines)
     s.machines.set(m.id, {
@@ -68,7 +75,7 @@
     };
     s.jobs.set(job.spec.id, job);
     for (const [task, attempt, mid, session, at, stop] of j.live) {
-      s.addLive({ job, task, attempt, machine: s.machines.get(mid)!, session, at, stop });
+      s.addAttempt({ job, task, attempt, machine: s.machines.get(mid)!, session, startedAt: at, stop });
     }
   }
   return s;
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -1,26 +1,7 @@
-import {
-  BROKEN,
-  CANCELLED,
-  isUp,
-  type Final,
-  type Hire,
-  type Job,
-  type Live,
-  type Machine,
-} from './model.js';
-import type {
-  Attempt,
-  Cause,
-  Entry,
-  JobId,
-  JobSpec,
-  LogRecord,
-  MachineId,
-  MachineType,
-  RecordNo,
-  Session,
-  Wall,
-} from './types.js';
+import { GANG_BROKEN, JOB_CANCELLED, isAvailable } from './model.js';
+import type { Job, JobOutcome, Machine, RentalRequest, TaskAttempt } from './model.js';
+import type { AttemptNumber, EndCause, JobId, JobSpec, LogEntry, LogRecord } from './types.js';
+import type { MachineId, MachineType, RecordNumber, Session, WallMs } from './types.js';
 
 const num = (m: MachineId): number => Number(m.replace(/^\D+/, ''));
 
@@ -28,25 +9,25 @@
  * What the log says. Only apply() changes it, on the leader, on followers and in replay alike;
  * it uses nothing but the record, so that all of them come to the same state.
  */
-export class State {
-  next = 1 as RecordNo;
-  marked = 0;
+export class ClusterState {
+  nextRecord = 1 as RecordNumber;
+  processedUpTo = 0;
   jobs = new Map<JobId, Job>();
-  finals = new Map<JobId, Final>();
+  outcomes = new Map<JobId, JobOutcome>();
   machines = new Map<MachineId, Machine>();
-  hires = new Map<string, Hire>();
-  types = new Map<string, MachineType>();
-  teamUse = new Map<string, { cpus: number; gpus: number }>();
-  gone = new Set<MachineId>();
-  orders = 0;
+  pendingRentals = new Map<string, RentalRequest>();
+  machineTypes = new Map<string, MachineType>();
+  teamUsage = new Map<string, { cpus: number; gpus: number }>();
+  removedMachines = new Set<MachineId>();
+  nextJobOrder = 0;
 
-  apply(no: RecordNo, rec: LogRecord): void {
-    if (no !== this.next) throw new Error(`record ${no} applied where ${this.next} is due`);
+  apply(no: RecordNumber, rec: LogRecord): void {
+    if (no !== this.nextRecord) throw new Error(`record ${no} applied where ${this.nextRecord} is due`);
     for (const e of rec.entries) this.entry(e, rec.at);
-    this.next = (no + 1) as RecordNo;
+    this.nextRecord = (no + 1) as RecordNumber;
   }
 
-  private entry(e: Entry, at: Wall): void {
+  private entry(e: LogEntry, at: WallMs): void {
     switch (e.e) {
       case 'job':
         return this.addJob(e.spec, at);
@@ -55,24 +36,32 @@
       case 'up':
         return this.up(e, at);
       case 'start':
-        for (const [task, attempt, m] of e.p) this.start(e.job, task, attempt as Attempt, m, at);
+        for (const [task, attempt, m] of e.p) this.start(e.job, task, attempt as AttemptNumber, m, at);
         return;
       case 'stop':
         return this.stop(e, at);
       case 'end':
         for (const [job, task, attempt, cause, saved] of e.p)
-          this.end(job, task, attempt as Attempt, cause, saved, at);
+          this.end(job, task, attempt as AttemptNumber, cause, saved, at);
         return;
       case 'hire':
-        this.hires.set(e.name, { name: e.name, type: e.type, zone: e.zone, spot: e.spot, n: e.n, at });
+        this.pendingRentals.set(e.name, {
+          name: e.name,
+          type: e.type,
+          zone: e.zone,
+          spot: e.spot,
+          n: e.n,
+          at,
+        });
         return;
       case 'hired': {
-        const h = this.hires.get(e.name);
+        const h = this.pendingRentals.get(e.name);
         if (!h) return;
-        this.hires.delete(e.name);
+        this.pendingRentals.delete(e.name);
         // From the answer on: the request may have been repeated for long, and a machine is not late
         // to boot because the cloud was late to answer.
-        for (const m of e.m) if (!this.machines.has(m) && !this.gone.has(m)) this.machine(m, h, at);
+        for (const m of e.m)
+          if (!this.machines.has(m) && !this.removedMachines.has(m)) this.machine(m, h, at);
         return;
       }
       case 'drop':
@@ -87,10 +76,10 @@
         for (const id of e.m) this.remove(id, at);
         return;
       case 'types':
-        this.types = new Map(e.types.map((t) => [t.name, t]));
+        this.machineTypes = new Map(e.types.map((t) => [t.name, t]));
         return;
       case 'mark':
-        this.marked = Math.max(this.marked, e.upto);
+        this.processedUpTo = Math.max(this.processedUpTo, e.upto);
         return;
     }
   }
@@ -98,7 +87,7 @@
   private machine(
     id: MachineId,
     of: { type: string; zone: string; spot: boolean },
-    hiredAt: Wall,
+    hiredAt: WallMs,
     addr = '',
   ): Machine {
     const m: Machine = {
@@ -125,12 +114,12 @@
     return m;
   }
 
-  private addJob(spec: JobSpec, at: Wall): void {
-    if (this.jobs.has(spec.id) || this.finals.has(spec.id)) return;
+  private addJob(spec: JobSpec, at: WallMs): void {
+    if (this.jobs.has(spec.id) || this.outcomes.has(spec.id)) return;
     this.jobs.set(spec.id, {
       spec,
       at,
-      order: this.orders++,
+      order: this.nextJobOrder++,
       withdrawn: false,
       fresh: 0,
       back: new Map(),
@@ -141,27 +130,27 @@
       places: [],
       errors: 0,
       errorMachines: new Set(),
-      notBefore: 0 as Wall,
+      notBefore: 0 as WallMs,
     });
   }
 
-  private withdraw(id: JobId, at: Wall): void {
+  private withdraw(id: JobId, at: WallMs): void {
     const job = this.jobs.get(id);
     // A job that is done stays done: went_back.
-    if (!job || this.finals.has(id)) return;
+    if (!job || this.outcomes.has(id)) return;
     job.withdrawn = true;
     // Guards ran_cancelled: what may be on a machine is stopped at once, without grace.
     for (const l of job.live.values()) {
       if (!l.stop) l.machine.stopping++;
-      l.stop = { grace: 0, at, why: CANCELLED };
+      l.stop = { grace: 0, at, why: JOB_CANCELLED };
       l.machine.changes++;
     }
-    this.finals.set(id, { s: 'cancelled', done: job.done });
+    this.outcomes.set(id, { state: 'cancelled', done: job.done });
     this.tidy(job);
   }
 
-  private up(e: Extract<Entry, { e: 'up' }>, at: Wall): void {
-    if (this.gone.has(e.m)) return;
+  private up(e: Extract<LogEntry, { e: 'up' }>, at: WallMs): void {
+    if (this.removedMachines.has(e.m)) return;
     const m = this.machines.get(e.m) ?? this.machine(e.m, e, at, e.addr);
     if (e.s <= m.session) return;
     if (m.session === 0) m.upAt = at;
@@ -178,7 +167,7 @@
   }
 
   /** Whether this start may be: decisions and replay ask the same question. */
-  startable(job: Job, task: number, attempt: number): boolean {
+  canStart(job: Job, task: number, attempt: number): boolean {
     if (job.withdrawn || task >= job.spec.tasks || job.live.has(task)) return false;
     // Guards ran_twice and not_done: a task starts only while nothing of it may be anywhere.
     if (job.spec.gang) return attempt === job.gangTry && !job.broken;
@@ -186,18 +175,18 @@
     return again === undefined ? task >= job.fresh && attempt === 1 : attempt === again;
   }
 
-  private start(id: JobId, task: number, attempt: Attempt, mid: MachineId, at: Wall): void {
+  private start(id: JobId, task: number, attempt: AttemptNumber, mid: MachineId, at: WallMs): void {
     const job = this.jobs.get(id);
     const m = this.machines.get(mid);
-    if (!job || !m || !isUp(m) || !this.startable(job, task, attempt)) return;
+    if (!job || !m || !isAvailable(m) || !this.canStart(job, task, attempt)) return;
     if (!job.spec.gang) {
       if (!job.back.delete(task)) {
-        // Tasks skipped over stay startable.
+        // Tasks skipped over can still start.
         for (let i = job.fresh; i < task; i++) job.back.set(i, 1);
         job.fresh = task + 1;
       }
     }
-    this.addLive({ job, task, attempt, machine: m, session: m.session, at, stop: null });
+    this.addAttempt({ job, task, attempt, machine: m, session: m.session, startedAt: at, stop: null });
     m.changes++;
     m.images.delete(job.spec.image);
     m.images.set(job.spec.image, job.spec.imageGb);
@@ -205,17 +194,17 @@
   }
 
   /** Counts a task as present on its machine; for `apply` and for loading a snapshot alone. */
-  addLive(live: Live): void {
+  addAttempt(live: TaskAttempt): void {
     live.job.live.set(live.task, live);
     live.machine.live.add(live);
     if (live.stop) live.machine.stopping++;
     this.use(live, 1);
   }
 
-  private use(l: Live, sign: 1 | -1): void {
+  private use(l: TaskAttempt, sign: 1 | -1): void {
     const s = l.job.spec;
-    const t = this.teamUse.get(s.team) ?? { cpus: 0, gpus: 0 };
-    this.teamUse.set(s.team, t);
+    const t = this.teamUsage.get(s.team) ?? { cpus: 0, gpus: 0 };
+    this.teamUsage.set(s.team, t);
     for (const x of [t, l.machine]) {
       x.cpus += sign * s.cpus;
       x.gpus += sign * s.gpus;
@@ -223,7 +212,7 @@
     l.machine.mem += sign * s.mem;
   }
 
-  private stop(e: Extract<Entry, { e: 'stop' }>, at: Wall): void {
+  private stop(e: Extract<LogEntry, { e: 'stop' }>, at: WallMs): void {
     const job = this.jobs.get(e.job);
     if (!job) return;
     for (const task of e.p) {
@@ -236,7 +225,14 @@
     }
   }
 
-  private end(id: JobId, task: number, attempt: Attempt, cause: Cause, saved: boolean, at: Wall): void {
+  private end(
+    id: JobId,
+    task: number,
+    attempt: AttemptNumber,
+    cause: EndCause,
+    saved: boolean,
+    at: WallMs,
+  ): void {
     const job = this.jobs.get(id);
     const l = job?.live.get(task);
     if (!job || !l || l.attempt !== attempt) return;
@@ -260,14 +256,14 @@
       job.errors++;
       job.errorMachines.add(m.id);
       if (job.errorMachines.size <= 2) m.errors++;
-      job.notBefore = (at + Math.min(60_000, 1000 * 2 ** Math.min(job.errors, 6))) as Wall;
+      job.notBefore = (at + Math.min(60_000, 1000 * 2 ** Math.min(job.errors, 6))) as WallMs;
     }
     if (cause === 'no_room' || cause === 'busy' || cause === 'unknown')
-      job.notBefore = Math.max(job.notBefore, at + 2000) as Wall;
+      job.notBefore = Math.max(job.notBefore, at + 2000) as WallMs;
     if (job.spec.gang) {
       if (cause === 'done') job.done = job.spec.tasks;
       else job.broken = true;
-      if (cause === 'alone' || l.stop?.why === BROKEN) job.places.push(m.id);
+      if (cause === 'alone' || l.stop?.why === GANG_BROKEN) job.places.push(m.id);
       if (job.live.size === 0 && job.broken) {
         job.gangTry++;
         job.broken = false;
@@ -276,23 +272,23 @@
     } else if (cause === 'done') job.done++;
     else if (!job.withdrawn) job.back.set(task, attempt + 1);
     // Guards not_done: done only when the end of every task is in a record.
-    if (!job.withdrawn && job.done >= job.spec.tasks && !this.finals.has(id))
-      this.finals.set(id, { s: 'done', done: job.done });
+    if (!job.withdrawn && job.done >= job.spec.tasks && !this.outcomes.has(id))
+      this.outcomes.set(id, { state: 'done', done: job.done });
     this.tidy(job);
   }
 
   private tidy(job: Job): void {
-    if (this.finals.has(job.spec.id) && job.live.size === 0) this.jobs.delete(job.spec.id);
+    if (this.outcomes.has(job.spec.id) && job.live.size === 0) this.jobs.delete(job.spec.id);
   }
 
-  private remove(id: MachineId, at: Wall): void {
+  private remove(id: MachineId, at: WallMs): void {
     const m = this.machines.get(id);
     if (m) for (const l of [...m.live]) this.end(l.job.spec.id, l.task, l.attempt, 'lost', false, at);
     this.machines.delete(id);
-    this.gone.add(id);
-    if (this.gone.size > 4000) {
-      const low = [...this.gone].sort((a, b) => num(a) - num(b)).slice(0, 2000);
-      for (const g of low) this.gone.delete(g);
+    this.removedMachines.add(id);
+    if (this.removedMachines.size > 4000) {
+      const low = [...this.removedMachines].sort((a, b) => num(a) - num(b)).slice(0, 2000);
+      for (const g of low) this.removedMachines.delete(g);
     }
   }
 }
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -8,17 +8,17 @@
 export type NodeId = Brand<string, 'NodeId'>;
 export type Term = Brand<number, 'Term'>;
 export type Session = Brand<number, 'Session'>;
-export type Attempt = Brand<number, 'Attempt'>;
-export type RecordNo = Brand<number, 'RecordNo'>;
+export type AttemptNumber = Brand<number, 'AttemptNumber'>;
+export type RecordNumber = Brand<number, 'RecordNumber'>;
 /** Raised by a leader for one worker, within its term: what it sent there before under a lower one is void. */
 export type Fence = Brand<number, 'Fence'>;
 /** Time of day in milliseconds; differs between nodes by up to the platform's bound. */
-export type Wall = Brand<number, 'Wall'>;
+export type WallMs = Brand<number, 'WallMs'>;
 /** Milliseconds on one node's steady clock; means nothing on another node. */
-export type Steady = Brand<number, 'Steady'>;
+export type SteadyMs = Brand<number, 'SteadyMs'>;
 
 export type Priority = 'production' | 'high' | 'normal' | 'low';
-export const rank: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
+export const priorityRank: Record<Priority, number> = { production: 3, high: 2, normal: 1, low: 0 };
 
 export interface JobSpec {
   id: JobId;
@@ -64,7 +64,7 @@
   gpusMax: number;
 }
 
-export type Cause =
+export type EndCause =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown' | 'lost' | 'void';
 
 export type TaskState = 'fetching' | 'waiting' | 'running' | 'saving' | 'exited';
@@ -72,9 +72,9 @@
 export interface TaskReport {
   job: JobId;
   task: number;
-  attempt: Attempt;
+  attempt: AttemptNumber;
   state: TaskState;
-  cause?: Cause;
+  cause?: EndCause;
   saved?: boolean;
 }
 
@@ -93,18 +93,18 @@
 }
 
 export type Command =
-  | { op: 'start'; job: JobId; task: number; attempt: Attempt }
-  | { op: 'stop'; job: JobId; task: number; attempt: Attempt; grace: number }
-  | { op: 'forget'; job: JobId; task: number; attempt: Attempt };
+  | { op: 'start'; job: JobId; task: number; attempt: AttemptNumber }
+  | { op: 'stop'; job: JobId; task: number; attempt: AttemptNumber; grace: number }
+  | { op: 'forget'; job: JobId; task: number; attempt: AttemptNumber };
 
 /** What a record holds. Everything that a later leader must know is one of these. */
-export type Entry =
+export type LogEntry =
   | { e: 'job'; spec: JobSpec }
   | { e: 'withdraw'; job: JobId }
   | { e: 'up'; m: MachineId; addr: string; type: string; zone: string; spot: boolean; s: Session }
   | { e: 'start'; job: JobId; p: [task: number, attempt: number, machine: MachineId][] }
   | { e: 'stop'; job: JobId; p: number[]; grace: number; why: string }
-  | { e: 'end'; p: [job: JobId, task: number, attempt: number, cause: Cause, saved: boolean][] }
+  | { e: 'end'; p: [job: JobId, task: number, attempt: number, cause: EndCause, saved: boolean][] }
   | { e: 'hire'; name: string; type: string; zone: string; spot: boolean; n: number }
   | { e: 'hired'; name: string; m: MachineId[] }
   | { e: 'drop'; m: MachineId[]; why: string }
@@ -116,8 +116,8 @@
   term: Term;
   /** Unique within the term: tells our own write from another's when an answer was lost. */
   tag: number;
-  at: Wall;
-  entries: Entry[];
+  at: WallMs;
+  entries: LogEntry[];
 }
 
-export const EPS = 1e-6;
+export const RESOURCE_EPSILON = 1e-6;
--- a/src/core/unsettled-calls.ts
+++ b/src/core/unsettled-calls.ts
@@ -37,7 +37,7 @@
   }
 
   /** The worker has shown this fence: calls under lower ones were carried out before, or never will be. */
-  fenceShown(fence: Fence): void {
+  fenceReported(fence: Fence): void {
     for (const call of this.calls.values()) if (call.fence < fence) this.calls.delete(call.number);
   }
 
--- a/src/core/waiting-tasks.ts
+++ b/src/core/waiting-tasks.ts
@@ -1,6 +1,6 @@
 /** Which tasks of a job wait to be started. */
 import type { Job } from './model.js';
-import type { State } from './state.js';
+import type { ClusterState } from './state.js';
 
 /** Tasks of an array that may be started now, at most so many. */
 export function waitingTasks(job: Job, most: number): [task: number, attempt: number][] {
@@ -14,8 +14,8 @@
 }
 
 /** How many tasks wait; of a gang all or none. */
-export function countWaiting(state: State, job: Job): number {
-  if (job.withdrawn || state.finals.has(job.spec.id)) return 0;
+export function countWaitingTasks(state: ClusterState, job: Job): number {
+  if (job.withdrawn || state.outcomes.has(job.spec.id)) return 0;
   if (job.spec.gang) return job.live.size === 0 && !job.broken ? job.spec.tasks : 0;
   return job.back.size + job.spec.tasks - job.fresh;
 }
--- a/src/io/clock.ts
+++ b/src/io/clock.ts
@@ -1,17 +1,17 @@
-import type { Steady, Wall } from '../core/types.js';
+import type { SteadyMs, WallMs } from '../core/types.js';
 
 export type Cancel = () => void;
 
 /** Time as the actors know it; tests put a virtual one in its place. */
 export interface Clock {
-  steady(): Steady;
-  wall(): Wall;
+  steady(): SteadyMs;
+  wall(): WallMs;
   after(ms: number, run: () => void): Cancel;
 }
 
 export const realClock: Clock = {
-  steady: () => (Number(process.hrtime.bigint() / 1000n) / 1000) as Steady,
-  wall: () => Date.now() as Wall,
+  steady: () => (Number(process.hrtime.bigint() / 1000n) / 1000) as SteadyMs,
+  wall: () => Date.now() as WallMs,
   after: (ms, run) => {
     const t = setTimeout(run, ms);
     return () => clearTimeout(t);
--- a/src/io/peers.ts
+++ b/src/io/peers.ts
@@ -1,6 +1,6 @@
 import net from 'node:net';
 import { Root, type Message } from 'protobufjs/light.js';
-import type { NodeId, Steady } from '../core/types.js';
+import type { NodeId, SteadyMs } from '../core/types.js';
 import { realClock } from './clock.js';
 import type { Logger } from './logger.js';
 
@@ -165,7 +165,7 @@
     private readonly mine: () => PeerStatus,
     private readonly on: {
       ask: (a: PeerAsk) => Promise<PeerAnswer>;
-      status: (s: PeerStatus, asked?: Steady) => void;
+      status: (s: PeerStatus, asked?: SteadyMs) => void;
     },
     private readonly log: Logger,
   ) {}
@@ -212,7 +212,7 @@
     for (const p of this.peers) this.dial(p);
   }
 
-  private heard(s: PeerStatus, asked?: Steady): void {
+  private heard(s: PeerStatus, asked?: SteadyMs): void {
     if (!this.peers.some(({ node }) => node === s.node) || !isSoundStatus(s)) return this.noteUnsound(s);
     this.known.set(s.node, { status: s, at: realClock.steady() });
     this.on.status(s, asked);
@@ -244,7 +244,7 @@
       reader(
         (f) => {
           last = realClock.steady();
-          if (f.status) this.heard(f.status, f.asked as Steady);
+          if (f.status) this.heard(f.status, f.asked as SteadyMs);
           if (f.answer) {
             const { id, ...a } = f.answer;
             this.waiting.get(id)?.end(a);
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -1,6 +1,6 @@
 /** The keys of the state service, and the values that are not records. */
 import * as z from 'zod';
-import type { RecordNo, Term } from '../core/types.js';
+import type { RecordNumber, Term } from '../core/types.js';
 
 export const ROOT = 'q/';
 export const LEADER = 'q/leader';
@@ -12,8 +12,8 @@
 export const REACH = 'q/reach/';
 
 const pad = (n: number): string => String(n).padStart(12, '0');
-export const recordKey = (n: RecordNo | number): string => RECORDS + pad(n);
-export const recordOf = (key: string): RecordNo => Number(key.slice(RECORDS.length)) as RecordNo;
+export const recordKey = (n: RecordNumber | number): string => RECORDS + pad(n);
+export const recordOf = (key: string): RecordNumber => Number(key.slice(RECORDS.length)) as RecordNumber;
 export const chunkKey = (upto: number, i: number): string =>
   `${CHUNKS}${pad(upto)}/${String(i).padStart(5, '0')}`;
 
--- a/src/wire/reports.ts
+++ b/src/wire/reports.ts
@@ -3,8 +3,8 @@
  * differ from the one before only in their number.
  */
 import type {
-  Attempt,
-  Cause,
+  AttemptNumber,
+  EndCause,
   Command,
   Fence,
   JobId,
@@ -25,7 +25,7 @@
   ended: 'exited',
 };
 
-const causes: Readonly<Record<string, Cause | undefined>> = {
+const causes: Readonly<Record<string, EndCause | undefined>> = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -54,7 +54,7 @@
   return {
     job: shift.slice(0, slash) as JobId,
     task: Number(shift.slice(slash + 1)),
-    attempt: attempt as Attempt,
+    attempt: attempt as AttemptNumber,
     state: taskStates[standing] ?? 'running',
     cause: cause ? (causes[cause as string] ?? 'stopped') : undefined,
     saved: stored === true,
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -1,5 +1,5 @@
 import TinyQueue from 'tinyqueue';
-import type { Steady, Wall } from '../../src/core/types.js';
+import type { SteadyMs, WallMs } from '../../src/core/types.js';
 import type { Cancel, Clock } from '../../src/io/clock.js';
 
 const quiet = (): Promise<void> => new Promise((ok) => setImmediate(ok));
@@ -64,11 +64,11 @@
     private readonly rate: number,
     private readonly off: number,
   ) {}
-  steady(): Steady {
-    return (this.time.now * this.rate) as Steady;
+  steady(): SteadyMs {
+    return (this.time.now * this.rate) as SteadyMs;
   }
-  wall(): Wall {
-    return Math.round(1_700_000_000_000 + this.time.now + this.off) as Wall;
+  wall(): WallMs {
+    return Math.round(1_700_000_000_000 + this.time.now + this.off) as WallMs;
   }
   after(ms: number, run: () => void): Cancel {
     let cancel: Cancel = () => {};
--- a/test/fakes/leading.ts
+++ b/test/fakes/leading.ts
@@ -1,6 +1,6 @@
 import { WorkersActor } from '../../src/actors/workers.js';
-import type { Append } from '../../src/actors/log.js';
-import type { State } from '../../src/core/state.js';
+import type { AppendRequest } from '../../src/actors/log.js';
+import type { ClusterState } from '../../src/core/state.js';
 import type { Term } from '../../src/core/types.js';
 import type { HttpCall } from '../../src/io/http-client.js';
 import { NodeClock, type VirtualTime } from './clock.js';
@@ -10,10 +10,10 @@
 export const REPORT_S = 3;
 
 export interface Leading {
-  state: State;
+  state: ClusterState;
   time: VirtualTime;
   call: HttpCall;
-  append?: (append: Append) => void;
+  append?: (append: AppendRequest) => void;
   term?: number;
   mostCalls?: number;
 }
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -1,8 +1,8 @@
-import type { Append } from '../../src/actors/log.js';
+import type { AppendRequest } from '../../src/actors/log.js';
 import type { WorkerFigures, WorkersActor } from '../../src/actors/workers.js';
-import { State } from '../../src/core/state.js';
+import { ClusterState } from '../../src/core/state.js';
 import { waitingTasks } from '../../src/core/waiting-tasks.js';
-import type { Entry, JobId, MachineId, Term } from '../../src/core/types.js';
+import type { LogEntry, JobId, MachineId, Term } from '../../src/core/types.js';
 import type { HttpAnswer, HttpCall } from '../../src/io/http-client.js';
 import { readReport } from '../../src/wire/reports.js';
 import { readJob, writeElsewhere, writeOrders } from '../../src/wire/schemas.js';
@@ -46,7 +46,7 @@
  */
 export class OneWorker {
   readonly time = new VirtualTime();
-  readonly state = new State();
+  readonly state = new ClusterState();
   readonly checker: StartsChecker;
   readonly worker: FakeWorker;
   readonly machine = PLACE.id as MachineId;
@@ -115,11 +115,11 @@
   }
 
   /** The leader decides: written, applied, and told to the worker. */
-  decide(entry: Entry): void {
+  decide(entry: LogEntry): void {
     if (entry.e === 'withdraw') this.leader.tell({ kind: 'cancelling', job: entry.job, isUnderWay: true });
     this.append(this.leader, {
       entries: [entry],
-      done: (ok) => {
+      onSettled: (ok) => {
         if (entry.e === 'withdraw')
           this.leader.tell({ kind: 'cancelling', job: entry.job, isUnderWay: false });
         if (ok) this.push();
@@ -220,11 +220,11 @@
   }
 
   /** A write takes a while; that of a leader that was deposed meanwhile is refused. */
-  private append(by: WorkersActor, append: Append): void {
+  private append(by: WorkersActor, append: AppendRequest): void {
     this.time.after(WRITE_MS, () => {
-      if (by !== this.leader) return append.done?.(false);
+      if (by !== this.leader) return append.onSettled?.(false);
       write(this.state, append.entries);
-      append.done?.(true);
+      append.onSettled?.(true);
     });
   }
 
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -3,8 +3,8 @@
 import { deflateSync } from 'node:zlib';
 import { Controller } from '../../src/actors/controller.js';
 import { defaultPolicy } from '../../src/core/policy.js';
-import type { State } from '../../src/core/state.js';
-import type { Entry, JobId, MachineType, Term, Wall } from '../../src/core/types.js';
+import type { ClusterState } from '../../src/core/state.js';
+import type { LogEntry, JobId, MachineType, Term, WallMs } from '../../src/core/types.js';
 import type { Logger } from '../../src/io/logger.js';
 import type { PeerAnswer, PeerAsk, Peers, PeerStatus } from '../../src/io/peers.js';
 import { Cloud } from '../../src/wire/cloud.js';
@@ -66,8 +66,8 @@
 }
 
 /** Entries of one record, applied. */
-export const write = (state: State, entries: Entry[], at = 0): void =>
-  state.apply(state.next, { term: 1 as Term, tag: 1, at: at as Wall, entries });
+export const write = (state: ClusterState, entries: LogEntry[], at = 0): void =>
+  state.apply(state.nextRecord, { term: 1 as Term, tag: 1, at: at as WallMs, entries });
 
 interface NodeHere {
   name: string;
--- a/test/lease.test.ts
+++ b/test/lease.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import { KeptLease } from '../src/actors/lease.js';
-import { WriteCopies } from '../src/actors/write-copies.js';
-import type { Steady } from '../src/core/types.js';
+import { HedgedTransaction } from '../src/actors/write-copies.js';
+import type { SteadyMs } from '../src/core/types.js';
 import type { Renewal, Store, TxnResult } from '../src/wire/store.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { silent } from './fakes/world.js';
@@ -32,7 +32,7 @@
       logger: silent,
       measure: () => {},
     },
-    ...{ id: 1, lifeMs: LIFE_MS, askedAt: 0 as Steady },
+    ...{ id: 1, lifeMs: LIFE_MS, askedAt: 0 as SteadyMs },
     onEnded: () => seen.ended++,
   });
   return { time, lease, seen };
@@ -93,7 +93,7 @@
   const copies = (answers: { ms: number; result: TxnResult }[]) => {
     const time = new VirtualTime();
     const sent: number[] = [];
-    const write = new WriteCopies(new NodeClock(time, 1, 0), () => {
+    const write = new HedgedTransaction(new NodeClock(time, 1, 0), () => {
       const { ms, result } = answers[Math.min(sent.length, answers.length - 1)]!;
       sent.push(time.now);
       return new Promise((resolve) => void time.after(ms, () => resolve(result)));
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -1,11 +1,11 @@
 import { describe, expect, it } from 'vitest';
 import { deflateSync } from 'node:zlib';
 import { LogActor } from '../src/actors/log.js';
-import { lines, pack, unpack } from '../src/actors/snapshot.js';
+import { toJsonLines, toCompressedChunks, stateFromChunks } from '../src/actors/snapshot.js';
 import { planReturns, type CapacityInput } from '../src/core/capacity.js';
 import { dumpState } from '../src/core/state-dump.js';
-import { State } from '../src/core/state.js';
-import type { Entry, MachineId, Wall } from '../src/core/types.js';
+import { ClusterState } from '../src/core/state.js';
+import type { LogEntry, MachineId, WallMs } from '../src/core/types.js';
 import { chunkKey } from '../src/wire/keys.js';
 import { Store } from '../src/wire/store.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
@@ -13,7 +13,7 @@
 import { box, silent, write } from './fakes/world.js';
 
 const limits = { rps: 100, write_rps: 40, value_kb: 8, txn_ops: 12 };
-const job = (i: number, filler = 600): Entry => ({
+const job = (i: number, filler = 600): LogEntry => ({
   e: 'job',
   spec: { id: `wk-${i}`, image: 'x'.repeat(filler), tasks: 1 } as never,
 });
@@ -30,9 +30,9 @@
       );
     }, 'state');
     service.kv.set('q/leader', { data: {}, stamp: 1 });
-    const state = new State();
+    const state = new ClusterState();
     const log = new LogActor({
-      ...{ state, store, limits, logger: silent, term: 1 as never, stamp: 1 },
+      ...{ state, store, limits, logger: silent, term: 1 as never, leaderVersion: 1 },
       clock: new NodeClock(time, 1, 0),
       onDeposed: () => expect.unreachable(),
       onWritten: () => {},
@@ -40,8 +40,8 @@
     let user = Infinity;
     let rest = 0;
     log.tell({ entries: [job(0)] });
-    for (let i = 1; i <= 150; i++) log.tell({ entries: [job(i)], done: () => (rest = time.now) });
-    log.tell({ entries: [job(151)], urgent: true, done: () => (user = time.now) });
+    for (let i = 1; i <= 150; i++) log.tell({ entries: [job(i)], onSettled: () => (rest = time.now) });
+    log.tell({ entries: [job(151)], urgent: true, onSettled: () => (user = time.now) });
     await time.run(5000);
     expect(state.jobs.size).toBe(152);
     expect(user).toBeLessThanOrEqual(40);
@@ -51,8 +51,8 @@
   });
 
   it('gets hundreds of machines to return in entries that each fit a record', () => {
-    const state = new State();
-    const up = (i: number): Entry => ({
+    const state = new ClusterState();
+    const up = (i: number): LogEntry => ({
       e: 'up',
       m: `vm-${String(i).padStart(6, '0')}` as MachineId,
       addr: 'x',
@@ -61,11 +61,14 @@
       spot: false,
       s: 1 as never,
     });
-    const entries = [{ e: 'types', types: [box] } as Entry, ...Array.from({ length: 1000 }, (_, i) => up(i))];
+    const entries = [
+      { e: 'types', types: [box] } as LogEntry,
+      ...Array.from({ length: 1000 }, (_, i) => up(i)),
+    ];
     write(state, entries);
     const drops = planReturns({
       state,
-      now: 1e9 as Wall,
+      now: 1e9 as WallMs,
       secondsSilent: () => 0,
       mostAreSilent: false,
       retained: new Set(),
@@ -78,7 +81,7 @@
 
 describe('a snapshot', () => {
   it('is written in short steps, is not changed by what comes meanwhile, and loads as it was', async () => {
-    const state = new State();
+    const state = new ClusterState();
     write(state, [{ e: 'types', types: [box] }]);
     for (let i = 0; i < 200; i++)
       write(state, [
@@ -89,7 +92,7 @@
     write(state, [{ e: 'stop', job: 'wk-3' as never, p: [0], grace: 0, why: 'preempted' }]);
     const before = JSON.stringify(dumpState(state));
     let steps = 0;
-    const text = await lines(dumpState(state), () => {
+    const text = await toJsonLines(dumpState(state), () => {
       steps++;
       write(state, [{ e: 'end', p: [[`wk-${steps}` as never, 0, 1 as never, 'stopped', false]] }]);
       return Promise.resolve();
@@ -97,9 +100,9 @@
     // 200 machines and 200 jobs, 40 at once.
     expect(steps).toBe(10);
     for (const t of [text, before]) {
-      const chunks = await pack(t, 1000, (x) => Promise.resolve(deflateSync(x)));
+      const chunks = await toCompressedChunks(t, 1000, (x) => Promise.resolve(deflateSync(x)));
       const keys = new Map(chunks.map((c, i) => [chunkKey(7, i), c as unknown]));
-      const loaded = unpack(keys, { upto: 7, chunks: chunks.length })!;
+      const loaded = stateFromChunks(keys, { upto: 7, chunks: chunks.length })!;
       expect(JSON.stringify(dumpState(loaded))).toBe(before);
       expect(loaded.machines.get('vm-3' as MachineId)).toMatchObject({ stopping: 1, cpus: 1 });
     }
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -2,9 +2,9 @@
 import { orderClaims } from '../src/core/claims.js';
 import { place } from '../src/core/placement.js';
 import { preempt } from '../src/core/preemption.js';
-import { State } from '../src/core/state.js';
-import type { Entry, JobSpec, MachineId, Wall } from '../src/core/types.js';
-import { rank } from '../src/core/types.js';
+import { ClusterState } from '../src/core/state.js';
+import type { LogEntry, JobSpec, MachineId, WallMs } from '../src/core/types.js';
+import { priorityRank } from '../src/core/types.js';
 import { box, write as record } from './fakes/world.js';
 
 const teams = [
@@ -35,9 +35,9 @@
   ...over,
 });
 
-function world(entries: Entry[]) {
-  const state = new State();
-  const write = (list: Entry[]): void => record(state, list, state.next);
+function world(entries: LogEntry[]) {
+  const state = new ClusterState();
+  const write = (list: LogEntry[]): void => record(state, list, state.nextRecord);
   write([{ e: 'types', types: [box] }]);
   write([{ e: 'up', m: 'vm-1' as MachineId, addr: 'x', type: 'box', zone: 'a', spot: false, s: 1 as never }]);
   write(entries);
@@ -48,7 +48,7 @@
       claims: order,
       state,
       teams,
-      now: now as Wall,
+      now: now as WallMs,
       random: { intBelow: () => 0 },
       sampleSize: 5,
       usable,
@@ -67,7 +67,7 @@
       freeResources: placed.freeResources,
       releasingResources: placed.releasingResources,
       secondsRun: () => 60,
-      minRank: rank.high,
+      minRank: priorityRank.high,
     });
     write([...placed.entries, ...p.entries]);
     return { starts: placed.entries, stops: p.entries, left: p.unplaced };
@@ -142,9 +142,9 @@
       { e: 'up', m: 'vm-2' as MachineId, addr: 'y', type: 'box', zone: 'a', spot: false, s: 1 as never },
       { e: 'job', spec: spec(4, { team: 'blue', priority: 'high', tasks: 3, cpus: 2 }) },
     ]);
-    w.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 2e6 as Wall;
+    w.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 2e6 as WallMs;
     w.round();
-    w.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 0 as Wall;
+    w.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 0 as WallMs;
     w.write([{ e: 'job', spec: spec(5, { priority: 'low', cpus: 2, tasks: 2 }) }]);
     const stops = w.round().stops as { job: string }[];
     expect(stops.length).toBeGreaterThan(0);
--- a/test/stored-data.test.ts
+++ b/test/stored-data.test.ts
@@ -7,9 +7,9 @@
 import { readFileSync } from 'node:fs';
 import { deflateSync } from 'node:zlib';
 import { describe, expect, it } from 'vitest';
-import { lines, pack, unpack } from '../src/actors/snapshot.js';
+import { toJsonLines, toCompressedChunks, stateFromChunks } from '../src/actors/snapshot.js';
 import { dumpState } from '../src/core/state-dump.js';
-import type { State } from '../src/core/state.js';
+import type { ClusterState } from '../src/core/state.js';
 import type { LogRecord } from '../src/core/types.js';
 import { chunkKey, HEAD, recordOf, RECORDS, type HeadValue } from '../src/wire/keys.js';
 import { startWorld } from './fakes/scenarios.js';
@@ -27,7 +27,7 @@
 const head = keys.get(HEAD) as HeadValue;
 
 /** A state in the form in which a snapshot holds it. */
-const asJson = (state: State): unknown => JSON.parse(JSON.stringify(dumpState(state)));
+const asJson = (state: ClusterState): unknown => JSON.parse(JSON.stringify(dumpState(state)));
 
 /** The keys of an object and of the objects in it, as paths. */
 const paths = (value: object, prefix = ''): string[] =>
@@ -37,11 +37,11 @@
 
 describe('data of an earlier build', () => {
   it('a snapshot is read, and written again with the same fields', () => {
-    expect(asJson(unpack(keys, head)!)).toEqual(stored.snapshot);
+    expect(asJson(stateFromChunks(keys, head)!)).toEqual(stored.snapshot);
   });
 
   it('records of every kind lead to the same state', () => {
-    const state = unpack(keys, head)!;
+    const state = stateFromChunks(keys, head)!;
     const records = [...keys]
       .filter(([key]) => key.startsWith(RECORDS))
       .map(([key, value]) => ({ key, value }));
@@ -59,10 +59,10 @@
   });
 
   it('a snapshot is packed into chunks that unpack to the same state', async () => {
-    const text = await lines(dumpState(unpack(keys, head)!), async () => {});
-    const chunks = await pack(text, 1000, async (plain) => deflateSync(plain));
+    const text = await toJsonLines(dumpState(stateFromChunks(keys, head)!), async () => {});
+    const chunks = await toCompressedChunks(text, 1000, async (plain) => deflateSync(plain));
     const packed = new Map(chunks.map((chunk, i): [string, unknown] => [chunkKey(7, i), chunk]));
-    expect(asJson(unpack(packed, { upto: 7, chunks: chunks.length })!)).toEqual(stored.snapshot);
+    expect(asJson(stateFromChunks(packed, { upto: 7, chunks: chunks.length })!)).toEqual(stored.snapshot);
   });
 });
 
--- a/test/workers.test.ts
+++ b/test/workers.test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from 'vitest';
 import type { WorkersActor } from '../src/actors/workers.js';
-import { State } from '../src/core/state.js';
-import type { Entry, MachineId, WorkerReport } from '../src/core/types.js';
+import { ClusterState } from '../src/core/state.js';
+import type { LogEntry, MachineId, WorkerReport } from '../src/core/types.js';
 import type { HttpAnswer, HttpCall } from '../src/io/http-client.js';
 import { readReport } from '../src/wire/reports.js';
 import { VirtualTime } from './fakes/clock.js';
@@ -13,17 +13,17 @@
 
 /** A leader that holds its lock, with what it tells the log. */
 const leading = (
-  state: State,
+  state: ClusterState,
   time: VirtualTime,
   call: HttpCall,
-  log: (entries: Entry[]) => void = () => {},
+  log: (entries: LogEntry[]) => void = () => {},
 ): WorkersActor =>
   leadingWorkers({ state, time, call, append: ({ entries }) => log(entries), mostCalls: MOST });
 
 /** A leader's ear and mouth on a large site, with one task started on each machine. */
 function site() {
   const time = new VirtualTime();
-  const state = new State();
+  const state = new ClusterState();
   write(state, [{ e: 'types', types: [box] }]);
   const ids = Array.from({ length: MACHINES }, (_, i) => `vm-${i}` as MachineId);
   for (const m of ids)
@@ -111,7 +111,7 @@
 describe('a report that repeats the last one', () => {
   it('keeps its machine alive, and is answered with what was decided meanwhile', async () => {
     const time = new VirtualTime();
-    const state = new State();
+    const state = new ClusterState();
     const id = 'vm-1' as MachineId;
     write(state, [{ e: 'types', types: [box] }]);
     write(state, [{ e: 'up', m: id, addr: `${id}:1`, type: 'box', zone: 'a', spot: false, s: 1 as never }]);
@@ -152,10 +152,10 @@
   /** A leader of one machine, settled; what it sends and tells the log, and what the machine answers. */
   const one = async () => {
     const time = new VirtualTime();
-    const state = new State();
+    const state = new ClusterState();
     const m = 'vm-1' as MachineId;
     const sent: { warrant: number; stint: number; orders: { verb: string }[] }[] = [];
-    const told: Entry[] = [];
+    const told: LogEntry[] = [];
     const answer: { body: object | null } = { body: null };
     const call: HttpCall = (_a, _m, _p, body) => {
       sent.push(body as never);
@@ -174,17 +174,17 @@
       workers.tell({ kind: 'commandsDue', machines: [m] });
       await time.run(100);
     };
-    const up = (s: number): Entry => ({
+    const up = (s: number): LogEntry => ({
       ...{ e: 'up', m, addr: 'vm-1:1', type: 'box', zone: 'a', spot: false, s: s as never },
     });
-    const job: Entry = { e: 'job', spec: { id: 'wk-1', tasks: 2, cpus: 1, gpus: 0, mem: 1 } as never };
+    const job: LogEntry = { e: 'job', spec: { id: 'wk-1', tasks: 2, cpus: 1, gpus: 0, mem: 1 } as never };
     write(state, [up(1), job]);
     report();
     for (let i = 0; i < 6; i++) {
       await time.run(1000);
       workers.tell({ kind: 'tick' });
     }
-    const start = (attempt: number): Entry => ({ e: 'start', job: 'wk-1' as never, p: [[0, attempt, m]] });
+    const start = (attempt: number): LogEntry => ({ e: 'start', job: 'wk-1' as never, p: [[0, attempt, m]] });
     write(state, [start(1)]);
     return { state, workers, sent, told, answer, wire, report, push, up, start };
   };
--- a/tools/profile/parts.ts
+++ b/tools/profile/parts.ts
@@ -21,9 +21,9 @@
 /** A frame with one of these names belongs to the part; the outermost such frame of a stack decides. */
 const PART_OF_FUNCTION: Record<string, string> = {
   round: 'rounds',
-  fold: 'snapshots',
-  lines: 'snapshots',
-  pack: 'snapshots',
+  compact: 'snapshots',
+  toJsonLines: 'snapshots',
+  toCompressedChunks: 'snapshots',
   write: 'log writes',
   pump: 'log writes',
   txn: 'log writes',
