--- a/src/actors/acknowledgements.ts
+++ b/src/actors/acknowledgements.ts
@@ -9,7 +9,7 @@
   constructor(private readonly wasReported: (live: TaskAttempt) => boolean) {}
 
   /** A record was written whose commands concern these tasks. */
-  written(record: RecordNumber, lives: TaskAttempt[]): void {
+  noteWritten(record: RecordNumber, lives: TaskAttempt[]): void {
     if (lives.length > 0) this.outstanding.set(record, lives);
   }
 
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -5,12 +5,12 @@
 import { sleep } from '../io/clock.js';
 import { LEADER, readLeaderValue, type LeaderValue } from '../wire/keys.js';
 import { Follower } from './follower.js';
-import { LeaderActor, type LeaderPorts } from './leader.js';
+import { LeaderActor, type LeaderDependencies } from './leader.js';
 import { HandOver } from './hand-over.js';
-import { HEARD_LATELY_MS, LeaderSight } from './leader-sight.js';
-import type { RenewalFigures } from './lease.js';
-import { Lock, lockMs } from './lock.js';
-import { STATUS_FRESH_MS } from './state-service-doubt.js';
+import { WORKER_HEARD_MAX_AGE_MS, LeaderTracker } from './leader-sight.js';
+import type { RenewalStatistics } from './lease.js';
+import { Lock, lockLeaseDurationMs } from './lock.js';
+import { STATUS_MAX_AGE_MS } from './state-service-doubt.js';
 import { UncertainAnswers } from './uncertain-answers.js';
 import { UserRequests } from './user-requests.js';
 import type { WorkerFigures } from './workers.js';
@@ -39,7 +39,7 @@
   private contending = false;
   private readonly handOver: HandOver;
   private readonly lockMs: number;
-  private readonly sight: LeaderSight;
+  private readonly sight: LeaderTracker;
   private readonly apartMs: number;
   /** When this node last had a link to the leader, or knew of none. */
   private linkedAt = -Infinity;
@@ -50,23 +50,23 @@
   readonly requests: UserRequests;
 
   constructor(
-    private readonly ports: LeaderPorts,
+    private readonly ports: LeaderDependencies,
     private readonly run: string,
   ) {
     const { clock, store, logger, measure, settings } = ports;
     this.remembers = clock.steady();
-    this.sight = new LeaderSight(clock);
+    this.sight = new LeaderTracker(clock);
     const { machine_limits, workers } = settings.cluster;
-    this.lockMs = lockMs(machine_limits.cpu_share, workers.lease_s);
+    this.lockMs = lockLeaseDurationMs(machine_limits.cpu_share, workers.lease_s);
     this.apartMs = this.lockMs + APART_AFTER_MS;
     this.lock = new Lock({
-      ...{ store, clock, logger, measure, lifeMs: this.lockMs },
-      me: { node: settings.node, term: 0, run },
+      ...{ store, clock, logger, measure, leaseDurationMs: this.lockMs },
+      identity: { node: settings.node, term: 0, run },
       onLost: (why) => this.stepDown(why),
     });
     this.handOver = new HandOver({
-      ...{ clock, logger, store, lock: this.lock, lifeMs: this.lockMs },
-      ...{ me: settings.node as NodeId, others: settings.seeds.length },
+      ...{ clock, logger, store, lock: this.lock, leaseDurationMs: this.lockMs },
+      ...{ nodeId: settings.node as NodeId, peerCount: settings.seeds.length },
     });
     this.follower = new Follower(store, clock, logger, {
       free: () => this.contend(),
@@ -108,10 +108,10 @@
     clock.after(WATCHDOG_MS, () => this.watchdog());
     const leaderElsewhere = this.otherLeader();
     if (!leaderElsewhere || this.peers?.linked(leaderElsewhere)) this.linkedAt = clock.steady();
-    if (this.lock.holding) return;
+    if (this.lock.held) return;
     this.claimReach();
     // A leader that no longer tells its peers that it leads is looked for in the state service.
-    if (this.sight.isSeen() && !this.sight.isInDoubt()) return;
+    if (this.sight.isLeaderHeard() && !this.sight.isHolderInDoubt()) return;
     this.lookForLeader();
   }
 
@@ -122,11 +122,11 @@
   /** Tells a leader that can't be heard, and that the state service names, that workers ask here. */
   private claimReach(): void {
     const { clock } = this.ports;
-    const isNamed = clock.steady() - this.follower.answeredInTimeAt < STATUS_FRESH_MS;
-    const isUnheard = clock.steady() - this.linkedAt > STATUS_FRESH_MS;
-    const workers = this.sight.countCallers();
+    const isNamed = clock.steady() - this.follower.answeredInTimeAt < STATUS_MAX_AGE_MS;
+    const isUnheard = clock.steady() - this.linkedAt > STATUS_MAX_AGE_MS;
+    const workers = this.sight.countRequestingWorkers();
     if (this.leader && this.otherLeader() && isNamed && isUnheard && workers > 0)
-      this.handOver.claimReach(this.leader.term as Term, workers);
+      this.handOver.publishReachClaim(this.leader.term as Term, workers);
   }
 
   /** A lock still held by an earlier run of this node holds nobody: that run is over. */
@@ -144,8 +144,8 @@
   }
 
   private async contend(): Promise<void> {
-    if (!this.handOver.mayContend()) return;
-    if (this.contending || this.lock.holding) return;
+    if (!this.handOver.mayAcquireLock()) return;
+    if (this.contending || this.lock.held) return;
     this.contending = true;
     try {
       await this.takeOver();
@@ -158,7 +158,7 @@
     const { clock, random, logger } = this.ports;
     const from = clock.steady();
     await sleep(clock, random.intBelow(60));
-    const held = await this.lock.contend();
+    const held = await this.lock.tryAcquire();
     if (!held) {
       logger.debug('the lock was not to be had');
       return;
@@ -167,21 +167,27 @@
     this.uncertainAnswers.reset();
     this.follower.pause();
     for (;;) {
-      if (!this.lock.holding || this.lock.holding.term !== held.term) return;
+      if (!this.lock.held || this.lock.held.term !== held.term) return;
       if (await this.follower.catchUp(this.lockMs)) break;
       await sleep(clock, 100);
     }
-    if (this.lock.holding?.term !== held.term) return;
+    if (this.lock.held?.term !== held.term) return;
     this.leader = { node: this.ports.settings.node, term: held.term, run: this.run };
     this.ledTerm = held.term;
     this.leading = new LeaderActor({
-      ...{ ports: this.ports, state: this.follower.state, lock: this.lock, held, head: this.follower.head },
-      onDeposed: (why) => this.lock.lose(why),
+      ...{
+        dependencies: this.ports,
+        state: this.follower.state,
+        lock: this.lock,
+        held,
+        head: this.follower.head,
+      },
+      onDeposed: (why) => this.lock.markLost(why),
       onHigherTerm: (term) => this.higher(term),
       mayAnswerUncertain: () => this.uncertainAnswers.areAllowed(),
     });
     this.ports.measure('take_over', clock.steady() - from);
-    const { term, stamp } = held;
+    const { term, version: stamp } = held;
     logger.info({ term, run: this.run, revision: stamp, next: this.follower.state.nextRecord }, 'leading');
   }
 
@@ -198,7 +204,7 @@
   private higher(term: Term): void {
     if (term <= this.highest) return;
     this.highest = term;
-    if (this.lock.holding && term > this.lock.holding.term) this.lock.release(`term ${term} seen`);
+    if (this.lock.held && term > this.lock.held.term) this.lock.release(`term ${term} seen`);
   }
 
   /** The number of the next record, as far as this node knows. */
@@ -207,8 +213,8 @@
   }
 
   /** Figures of the calls to workers, while this node leads; empty otherwise. */
-  leaderFigures(): Partial<WorkerFigures> & { renewals?: RenewalFigures } {
-    const renewals = this.lock.figures();
+  leaderFigures(): Partial<WorkerFigures> & { renewals?: RenewalStatistics } {
+    const renewals = this.lock.renewalStatistics();
     return { ...this.leading?.workers.figures(), ...(renewals ? { renewals } : {}) };
   }
 
@@ -223,18 +229,20 @@
       node: settings.node,
       run: this.run,
       term: this.highest,
-      leading: this.leading !== null && this.lock.certain(),
+      leading: this.leading !== null && this.lock.isCertain(),
       leader: this.leader?.node ?? '',
       leaderTerm: this.leader?.term ?? 0,
-      takingOver: this.lock.contending,
+      takingOver: this.lock.isAcquiring,
       remembersMs: Math.min(1e12, clock.steady() - this.remembers),
-      workers: this.leading?.workers.intake.countHeard(HEARD_LATELY_MS) ?? this.sight.countCallers(),
+      workers:
+        this.leading?.workers.intake.countHeard(WORKER_HEARD_MAX_AGE_MS) ??
+        this.sight.countRequestingWorkers(),
       stateAge: this.leading
-        ? this.lock.uncertainFor()
+        ? this.lock.uncertainForMs()
         : Math.min(1e9, clock.steady() - this.follower.lastAnswerAt),
-      reachesState: clock.steady() - this.follower.answeredInTimeAt < STATUS_FRESH_MS,
+      reachesState: clock.steady() - this.follower.answeredInTimeAt < STATUS_MAX_AGE_MS,
       inDoubt: this.handOver.isInDoubt,
-      gaveWay: this.handOver.gaveWayLately(),
+      gaveWay: this.handOver.gaveWayRecently(),
     };
   }
 
@@ -247,10 +255,10 @@
       this.leader = { node: s.leader, term: s.leaderTerm, run: '' };
     }
     if (asked !== undefined) this.uncertainAnswers.vouch(s, asked);
-    const wasInDoubt = this.sight.isInDoubt();
-    this.sight.note(s);
+    const wasInDoubt = this.sight.isHolderInDoubt();
+    this.sight.noteStatus(s);
     // The leader waits to hear whether the state service answers this node.
-    if (this.sight.isInDoubt() && !wasInDoubt && !this.lock.holding) this.lookForLeader();
+    if (this.sight.isHolderInDoubt() && !wasInDoubt && !this.lock.held) this.lookForLeader();
   }
 
   /** Whether this node can take requests. Slow to say no: each removal costs a longer pause. */
@@ -258,17 +266,17 @@
     if (!this.follower.loaded) return false;
     const now = this.ports.clock.steady();
     // A leader without state service and peers can do nothing for users; with peers it is an outage for all.
-    if (this.leading) return this.lock.uncertainFor() < this.apartMs || this.heard(this.apartMs).length > 0;
+    if (this.leading) return this.lock.uncertainForMs() < this.apartMs || this.heard(this.apartMs).length > 0;
     // The state service names a leader that outlived its lease, and no link to it can be had.
     if (now - this.linkedAt > this.apartMs && this.follower.lastAnswerAt - this.linkedAt > this.apartMs)
       return false;
-    return this.sight.isSeen(LEADERLESS_READY_MS);
+    return this.sight.isLeaderHeard(LEADERLESS_READY_MS);
   }
 
   hello(r: WorkerReport, reply: (h: Hello) => void): void {
     const l = this.leading;
     if (!l) {
-      this.sight.noteCaller(r.machine);
+      this.sight.noteWorkerRequest(r.machine);
       return reply({ answer: 'elsewhere', leader: this.otherLeader() });
     }
     l.workers.tell({
--- a/src/actors/first-reports.ts
+++ b/src/actors/first-reports.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from '../core/state.js';
 import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import type { NodePace } from './node-pace.js';
+import type { StallMonitor } from './node-pace.js';
 import { REPORT_SPREAD } from './report-intake.js';
 import type { WorkerView } from './worker-view.js';
 
@@ -22,20 +22,20 @@
   constructor(
     private readonly state: ClusterState,
     private readonly views: ReadonlyMap<MachineId, WorkerView>,
-    private readonly pace: NodePace,
+    private readonly pace: StallMonitor,
     private readonly clock: Clock,
     private readonly reportPeriodS: number,
   ) {}
 
   areIn(): boolean {
-    const { since } = this.pace;
+    const { observingSince: since } = this.pace;
     if (this.settledSince === since) return true;
     if (this.periodIsOver() || !this.awaitsReport()) this.settledSince = since;
     return this.settledSince === since;
   }
 
   periodIsOver(): boolean {
-    const waited = this.clock.steady() - this.pace.since;
+    const waited = this.clock.steady() - this.pace.observingSince;
     return waited > this.reportPeriodS * 1000 * REPORT_SPREAD + REPORT_WAY_MS;
   }
 
@@ -54,6 +54,6 @@
 
   private isUnreported(machine: Machine): boolean {
     const view = this.views.get(machine.id);
-    return isAvailable(machine) && !(view?.knowsTerm && view.heardAt >= this.pace.since);
+    return isAvailable(machine) && !(view?.knowsTerm && view.heardAt >= this.pace.observingSince);
   }
 }
--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -23,7 +23,7 @@
   type Stamp,
   type Store,
 } from '../wire/store.js';
-import { KeyValues } from './key-values.js';
+import { KeyReader } from './key-values.js';
 import { SingleFlight } from './single-flight.js';
 import { NO_SNAPSHOT, stateFromChunks, type VersionedSnapshotHead } from './snapshot.js';
 
@@ -50,7 +50,7 @@
   /** Steady time of its last answer to a question that came in the usual time; the last question's, or never. */
   answeredInTimeAt = -Infinity;
   private revision: Revision = 0;
-  private readonly values: KeyValues;
+  private readonly values: KeyReader;
   private readonly reads: SingleFlight<boolean>;
   /** This node led until now: what it applied is confirmed, so that the rest can be read on. */
   private ledUntilNow = false;
@@ -69,7 +69,7 @@
       term: (t: Term) => void;
     },
   ) {
-    this.values = new KeyValues(log);
+    this.values = new KeyReader(log);
     this.reads = new SingleFlight(clock, READ_APART_MS, () => this.read());
   }
 
@@ -108,7 +108,7 @@
 
   private takeChange(change: Change): void {
     const { key, value, removed } = change;
-    if (key === LEADER) this.setLeader(removed ? null : this.values.leader(value));
+    if (key === LEADER) this.setLeader(removed ? null : this.values.readLeader(value));
     else if (removed) return;
     else if (key === TERM) this.setTerm(value);
     else if (key === HEAD) this.setHead(change);
@@ -126,7 +126,7 @@
     if (k === undefined) this.answeredInTimeAt = -Infinity;
     if (k === undefined || this.paused) return false;
     this.lastAnswerAt = this.answeredInTimeAt = this.clock.steady();
-    const v = k === null ? null : this.values.leader(k.value);
+    const v = k === null ? null : this.values.readLeader(k.value);
     if (v?.run !== this.leader?.run || v?.term !== this.leader?.term) this.setLeader(v);
     return v === null;
   }
@@ -137,7 +137,7 @@
   }
 
   private setTerm(value: unknown): void {
-    const term = this.values.term(value);
+    const term = this.values.readTerm(value);
     if (term !== null) this.on.term(term);
   }
 
@@ -185,7 +185,7 @@
     this.lastAnswerAt = this.clock.steady();
     this.setHead(head);
     this.setTerm(term?.value);
-    this.setLeader(leader ? this.values.leader(leader.value) : null);
+    this.setLeader(leader ? this.values.readLeader(leader.value) : null);
     this.log.info({ next: this.state.nextRecord }, 'state read on');
     return this.loaded;
   }
@@ -216,7 +216,7 @@
     this.loaded = true;
     this.lastAnswerAt = this.clock.steady();
     this.setTerm(keys.get(TERM));
-    this.setLeader(keys.has(LEADER) ? this.values.leader(keys.get(LEADER)) : null);
+    this.setLeader(keys.has(LEADER) ? this.values.readLeader(keys.get(LEADER)) : null);
     this.log.info({ next: state.nextRecord, ms: Math.round(this.clock.steady() - from) }, 'state loaded');
     return true;
   }
--- a/src/actors/hand-over.ts
+++ b/src/actors/hand-over.ts
@@ -5,10 +5,10 @@
 import type { HeardStatus } from '../io/peers.js';
 import type { Store } from '../wire/store.js';
 import type { LeaderActor } from './leader.js';
-import type { Held, Lock } from './lock.js';
+import type { HeldLock, Lock } from './lock.js';
 import { ReachClaims } from './reach-claims.js';
-import { GAVE_WAY_MS, StateServiceDoubt, type HolderProgress } from './state-service-doubt.js';
-import { WorkerReach } from './worker-reach.js';
+import { GAVE_WAY_EXCLUSION_MS, StateServiceMonitor, type HolderProgress } from './state-service-doubt.js';
+import { WorkerReachability } from './worker-reach.js';
 
 /** A former holder stays back for so many leases' time: the lease may have to run out, and another has to win. */
 const STAY_BACK_LEASES = 2;
@@ -19,29 +19,29 @@
   store: Store;
   lock: Lock;
   /** The lease's time, in milliseconds. */
-  lifeMs: number;
-  me: NodeId;
+  leaseDurationMs: number;
+  nodeId: NodeId;
   /** How many other controllers there are. */
-  others: number;
+  peerCount: number;
 }
 
 export class HandOver {
   private readonly claims: ReachClaims;
-  private readonly doubt: StateServiceDoubt;
-  private readonly reach: WorkerReach;
+  private readonly doubt: StateServiceMonitor;
+  private readonly reach: WorkerReachability;
   private stayBackUntil = -Infinity;
   private gaveWayAt = -Infinity;
-  private heldSince: { held: Held; at: SteadyMs } | null = null;
+  private heldSince: { held: HeldLock; at: SteadyMs } | null = null;
 
   constructor(private readonly options: HandOverOptions) {
-    const { clock, lifeMs, logger, me, others, store } = options;
+    const { clock, leaseDurationMs: lifeMs, logger, nodeId: me, peerCount: others, store } = options;
     this.claims = new ReachClaims(store, clock, me);
-    this.doubt = new StateServiceDoubt(clock, logger, lifeMs);
-    this.reach = new WorkerReach({ clock, claims: this.claims, others });
+    this.doubt = new StateServiceMonitor(clock, logger, lifeMs);
+    this.reach = new WorkerReachability({ clock, claims: this.claims, peerCount: others });
   }
 
   /** Whether this node may try to take the lock. */
-  mayContend(): boolean {
+  mayAcquireLock(): boolean {
     return this.options.clock.steady() >= this.stayBackUntil;
   }
 
@@ -51,14 +51,14 @@
   }
 
   /** Whether this node gave the lock away lately because it got too little done at the state service. */
-  gaveWayLately(): boolean {
-    return this.options.clock.steady() - this.gaveWayAt < GAVE_WAY_MS;
+  gaveWayRecently(): boolean {
+    return this.options.clock.steady() - this.gaveWayAt < GAVE_WAY_EXCLUSION_MS;
   }
 
   /** Called again and again: gives the lock away where that serves. `leader` is null while the log is read on. */
   async check(leader: LeaderActor | null, peers: readonly HeardStatus[]): Promise<void> {
     const { lock } = this.options;
-    const held = lock.holding;
+    const held = lock.held;
     if (!held) {
       this.doubt.reset();
       this.reach.reset();
@@ -70,27 +70,27 @@
       return this.give(tooLate);
     }
     const unreached = leader ? await this.unreached(leader, held.term, peers) : null;
-    if (unreached && lock.holding === held) this.give(unreached);
+    if (unreached && lock.held === held) this.give(unreached);
   }
 
   /** Says to a leader that this node can't hear that workers ask here. */
-  claimReach(term: Term, workers: number): void {
-    this.claims.claim(term, workers);
+  publishReachClaim(term: Term, workers: number): void {
+    this.claims.publish(term, workers);
   }
 
   private give(why: string): void {
-    const { clock, lifeMs, lock } = this.options;
+    const { clock, leaseDurationMs: lifeMs, lock } = this.options;
     this.stayBackUntil = clock.steady() + lifeMs * STAY_BACK_LEASES;
     this.doubt.reset();
     this.reach.reset();
     lock.release(why);
   }
 
-  private progress(held: Held, leader: LeaderActor | null): HolderProgress {
+  private progress(held: HeldLock, leader: LeaderActor | null): HolderProgress {
     const { clock, lock } = this.options;
     if (this.heldSince?.held !== held) this.heldSince = { held, at: clock.steady() };
-    const stuckMs = leader ? leader.log.unansweredWriteMs : clock.steady() - this.heldSince.at;
-    return { untimelyMs: lock.untimelyMs, stuckMs };
+    const pendingMs = leader ? leader.log.unansweredWriteMs : clock.steady() - this.heldSince.at;
+    return { sinceTimelyRenewalMs: lock.sinceTimelyRenewalMs, pendingMs };
   }
 
   /** Guards the workers' leases: while the state service is out nobody could take over from this node. */
@@ -99,7 +99,7 @@
     term: Term,
     peers: readonly HeardStatus[],
   ): Promise<string | null> {
-    if (this.options.lock.certain() && workers.intake.areAllSilent()) return this.reach.check(term, peers);
+    if (this.options.lock.isCertain() && workers.intake.areAllSilent()) return this.reach.check(term, peers);
     this.reach.reset();
     return null;
   }
--- a/src/actors/key-values.ts
+++ b/src/actors/key-values.ts
@@ -6,19 +6,19 @@
 /** Stands for a value that can't be read: the lock is not free, and nobody is known to hold it. */
 const UNREADABLE_LEADER: LeaderValue = { node: '', term: 0, run: '' };
 
-export class KeyValues {
+export class KeyReader {
   private readonly logged = new Set<string>();
 
   constructor(private readonly logger: Logger) {}
 
-  leader(value: unknown): LeaderValue {
+  readLeader(value: unknown): LeaderValue {
     const leader = readLeaderValue(value);
     if (!leader) this.log('the leader key');
     return leader ?? UNREADABLE_LEADER;
   }
 
   /** Null when it can't be read; 0 when there is none. */
-  term(value: unknown): Term | null {
+  readTerm(value: unknown): Term | null {
     if (value === undefined) return 0 as Term;
     const term = readTermValue(value);
     if (term === null) this.log('the term key');
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -16,15 +16,15 @@
 import { Actor } from './actor.js';
 import { AdmissionActor } from './admission.js';
 import { CloudActor } from './cloud.js';
-import type { Held, Lock } from './lock.js';
+import type { HeldLock, Lock } from './lock.js';
 import { LogActor } from './log.js';
-import { Pulse } from './pulse.js';
+import { LeaderStatusLog } from './pulse.js';
 import { Rounds, type RoundResult } from './round.js';
 import type { Compress, VersionedSnapshotHead } from './snapshot.js';
 import { Snapshotter } from './snapshotter.js';
 import { WorkersActor } from './workers.js';
 
-export interface LeaderPorts {
+export interface LeaderDependencies {
   clock: Clock;
   store: Store;
   cloud: Cloud;
@@ -38,11 +38,11 @@
 }
 
 export interface LeaderOptions {
-  ports: LeaderPorts;
+  dependencies: LeaderDependencies;
   state: ClusterState;
   lock: Lock;
   /** The lock as it was taken. */
-  held: Held;
+  held: HeldLock;
   /** The snapshot in force. */
   head: VersionedSnapshotHead;
   /** Another leads: a write was refused. */
@@ -78,12 +78,12 @@
   readonly workers: WorkersActor;
   readonly cloud: CloudActor;
   readonly term: Term;
-  private readonly ports: LeaderPorts;
+  private readonly ports: LeaderDependencies;
   private readonly state: ClusterState;
   private readonly lock: Lock;
   private readonly clock: Clock;
   private readonly rounds: Rounds;
-  private readonly pulse: Pulse;
+  private readonly pulse: LeaderStatusLog;
   private readonly snapshotter: Snapshotter;
   private readonly acknowledgements: Acknowledgements;
   private cancelTick: Cancel | null = null;
@@ -99,20 +99,27 @@
 
   constructor(options: LeaderOptions) {
     super();
-    const { ports, state, held } = options;
+    const { dependencies: ports, state, held } = options;
     this.ports = ports;
     this.state = state;
     this.lock = options.lock;
     this.clock = ports.clock;
     this.term = held.term;
-    const isCertain = (): boolean => !this.stopped && this.lock.certain();
+    const isCertain = (): boolean => !this.stopped && this.lock.isCertain();
     this.log = this.openLog(options);
     this.workers = this.openWorkers(options, isCertain);
     this.admission = this.openAdmission(isCertain);
     const { clock, cloud, logger, settings } = ports;
     this.cloud = new CloudActor(state, cloud, this.log, clock, settings.cluster.cloud, isCertain, logger);
     const { workers } = this;
-    this.pulse = new Pulse({ state, workers, clock, logger, term: held.term, writes: this.log.writes });
+    this.pulse = new LeaderStatusLog({
+      state,
+      workers,
+      clock,
+      logger,
+      term: held.term,
+      writes: this.log.writes,
+    });
     this.snapshotter = this.openSnapshotter(options, isCertain);
     this.acknowledgements = new Acknowledgements((live) => workers.progress.wasReported(live));
     this.rounds = new Rounds({
@@ -122,21 +129,21 @@
     });
     this.log.committed.subscribe(({ no, record }) => this.committed(no, record));
     const live = [...state.machines.values()].flatMap((machine) => [...machine.live]);
-    this.acknowledgements.written((state.nextRecord - 1) as RecordNumber, live);
+    this.acknowledgements.noteWritten((state.nextRecord - 1) as RecordNumber, live);
     this.tick();
   }
 
-  private openLog({ ports, state, held, onDeposed }: LeaderOptions): LogActor {
+  private openLog({ dependencies: ports, state, held, onDeposed }: LeaderOptions): LogActor {
     const { clock, logger, measure, settings, store } = ports;
     return new LogActor({
-      ...{ state, store, clock, logger, onDeposed, term: held.term, leaderVersion: held.stamp },
+      ...{ state, store, clock, logger, onDeposed, term: held.term, leaderVersion: held.version },
       limits: settings.cluster.state,
       onWritten: (ms) => measure('write', ms),
     });
   }
 
   private openWorkers(options: LeaderOptions, isCertain: () => boolean): WorkersActor {
-    const { call, clock, logger, settings } = options.ports;
+    const { call, clock, logger, settings } = options.dependencies;
     const { machine_limits: limits, workers } = settings.cluster;
     return new WorkersActor({
       ...{ state: this.state, log: this.log, call, clock, logger, term: this.term, isCertain },
@@ -163,7 +170,7 @@
     return new Snapshotter({
       ...{ state: this.state, store, clock, logger, log: this.log, compress: deflate, head, isCertain },
       limits: settings.cluster.state,
-      leaderVersion: held.stamp,
+      leaderVersion: held.version,
       onStateCopied: (ms) => {
         measure('fold', ms);
         this.pulse.noteStep('fold', ms);
@@ -175,7 +182,7 @@
     if (this.stopped) return;
     this.cancelTick = this.clock.after(ROUND_MS, () => this.tick());
     this.workers.tell({ kind: 'tick' });
-    if (!this.lock.certain()) this.returnOverdue();
+    if (!this.lock.isCertain()) this.returnOverdue();
     this.cloud.tell({ t: 'tick' });
     const apart = this.workers.isBehind() ? ROUNDS_APART_BEHIND : ROUNDS_APART;
     if (this.clock.steady() - this.roundAt >= this.roundMs * apart) this.tell({ kind: 'round' });
@@ -215,7 +222,7 @@
 
   private committed(no: RecordNumber, record: LogRecord): void {
     const lives = record.entries.flatMap((entry) => this.livesOf(entry));
-    this.acknowledgements.written(no, lives);
+    this.acknowledgements.noteWritten(no, lives);
     this.pulse.noteEnds(record);
     const machines = new Set<MachineId>(lives.map((live) => live.machine.id));
     if (machines.size > 0) this.workers.tell({ kind: 'commandsDue', machines });
@@ -239,7 +246,7 @@
 
   protected receive(): void {
     if (this.stopped || this.isWritingRound) return;
-    if (this.lock.certain() && this.workers.isReconciled()) this.round();
+    if (this.lock.isCertain() && this.workers.isReconciled()) this.round();
   }
 
   private round(): void {
@@ -250,7 +257,7 @@
     this.roundMs = this.roundAt - from;
     this.ports.measure('round', this.roundMs);
     this.pulse.noteStep('round', this.roundMs);
-    this.pulse.beat(result.usable, result.stillUnplaced);
+    this.pulse.logIfDue(result.usable, result.stillUnplaced);
     this.snapshotter.compactIfDue();
   }
 
--- a/src/actors/lease.ts
+++ b/src/actors/lease.ts
@@ -6,14 +6,14 @@
 import type { LeaseId, Renewal, Store } from '../wire/store.js';
 
 /** The worst difference between two steady clocks, doubled. */
-export const DRIFT = 0.001;
+export const MAX_CLOCK_DRIFT = 0.001;
 /** Renewals are sent this often in a lease's time. As many may be open at once, since none waits for longer. */
 const RENEWALS_PER_LEASE = 4;
 /** Requests to end a lease, until one is answered. */
 const MOST_END_REQUESTS = 4;
 
 /** What became of the renewals of a lease. */
-export interface RenewalFigures {
+export interface RenewalStatistics {
   sent: number;
   /** Answered so soon that the next one overlaps. */
   timely: number;
@@ -33,9 +33,9 @@
   measure: Measure;
   id: LeaseId;
   /** The lease's time, in milliseconds. */
-  lifeMs: number;
+  leaseDurationMs: number;
   /** When the request was sent that made it. */
-  askedAt: SteadyMs;
+  requestedAt: SteadyMs;
   /** The state service says that it ended. */
   onEnded: () => void;
 }
@@ -45,8 +45,8 @@
  * can't have started earlier than that, so it can't end before what is believed here. An answer is waited for as
  * long as it can still prove something, which is the lease's time.
  */
-export class KeptLease {
-  readonly figures: RenewalFigures = {
+export class RenewedLease {
+  readonly statistics: RenewalStatistics = {
     ...{ sent: 0, timely: 0, late: 0, refused: 0, unanswered: 0 },
     uncertainMs: 0,
   };
@@ -56,7 +56,7 @@
   private cancelRenewal: Cancel;
 
   constructor(private readonly options: LeaseOptions) {
-    const { askedAt, clock } = options;
+    const { requestedAt: askedAt, clock } = options;
     this.validUntil = this.validFrom(askedAt);
     this.timelyAt = clock.steady();
     // The lease's time may be half over when its number is known: the first renewal is due by then.
@@ -69,7 +69,7 @@
   }
 
   /** The lease lasts until then at the least. */
-  get endsAt(): number {
+  get earliestExpiry(): number {
     return this.validUntil;
   }
 
@@ -79,7 +79,7 @@
   }
 
   /** Milliseconds since a renewal was answered in time. */
-  get untimelyMs(): number {
+  get sinceTimelyRenewalMs(): number {
     return this.options.clock.steady() - this.timelyAt;
   }
 
@@ -97,28 +97,28 @@
   }
 
   private get renewalMs(): number {
-    return this.options.lifeMs / RENEWALS_PER_LEASE;
+    return this.options.leaseDurationMs / RENEWALS_PER_LEASE;
   }
 
   private validFrom(sentAt: SteadyMs): number {
-    return sentAt + this.options.lifeMs * (1 - DRIFT);
+    return sentAt + this.options.leaseDurationMs * (1 - MAX_CLOCK_DRIFT);
   }
 
   private renew(): void {
-    const { clock, lifeMs, store } = this.options;
+    const { clock, leaseDurationMs: lifeMs, store } = this.options;
     if (this.stopped) return;
     this.cancelRenewal = clock.after(this.renewalMs, () => this.renew());
     const sentAt = clock.steady();
-    this.figures.sent++;
+    this.statistics.sent++;
     void store.renew(this.id, lifeMs).then((answer) => this.take(answer, sentAt));
   }
 
   private take(answer: Renewal, sentAt: SteadyMs): void {
-    const { clock, lifeMs, logger, measure, onEnded } = this.options;
+    const { clock, leaseDurationMs: lifeMs, logger, measure, onEnded } = this.options;
     const tookMs = clock.steady() - sentAt;
     const isTimely = answer === 'ok' && tookMs <= lifeMs - this.renewalMs;
     this.count(answer, isTimely);
-    if (!isTimely) logger.debug({ lease: this.id, answer, tookMs, ...this.figures }, 'renewal');
+    if (!isTimely) logger.debug({ lease: this.id, answer, tookMs, ...this.statistics }, 'renewal');
     if (this.stopped) return;
     if (answer === 'ended') onEnded();
     if (answer !== 'ok') return;
@@ -128,16 +128,16 @@
   }
 
   private count(answer: Renewal, isTimely: boolean): void {
-    if (answer === 'unanswered') this.figures.unanswered++;
-    else if (answer !== 'ok') this.figures.refused++;
-    else if (isTimely) this.figures.timely++;
-    else this.figures.late++;
+    if (answer === 'unanswered') this.statistics.unanswered++;
+    else if (answer !== 'ok') this.statistics.refused++;
+    else if (isTimely) this.statistics.timely++;
+    else this.statistics.late++;
   }
 
   private extend(until: number): void {
     const now = this.options.clock.steady();
     if (until <= this.validUntil) return;
-    if (now > this.validUntil && now < until) this.figures.uncertainMs += now - this.validUntil;
+    if (now > this.validUntil && now < until) this.statistics.uncertainMs += now - this.validUntil;
     this.validUntil = until;
   }
 }
--- a/src/actors/lock.ts
+++ b/src/actors/lock.ts
@@ -5,7 +5,7 @@
 import type { Measure } from '../io/metrics.js';
 import { LEADER, readLeaderValue, readTermValue, TERM, type LeaderValue } from '../wire/keys.js';
 import { ANSWER_MS, type LeaseId, type Stamp, type Store, type TxnResult } from '../wire/store.js';
-import { KeptLease, type RenewalFigures } from './lease.js';
+import { RenewedLease, type RenewalStatistics } from './lease.js';
 
 /** The shortest lease of the leader key. */
 const SHORTEST_LOCK_MS = 2500;
@@ -18,14 +18,14 @@
 const READS_APART_MS = 100;
 
 /** The lease of the leader key, in milliseconds: a leader must not lose it to its own work. */
-export const lockMs = (cpuShare: number, workerLeaseS: number): number => {
+export const lockLeaseDurationMs = (cpuShare: number, workerLeaseS: number): number => {
   const longest = workerLeaseS * 1000 * LOCK_OF_WORKER_LEASE;
   return Math.round(Math.max(SHORTEST_LOCK_MS, Math.min(LOCK_PROCESSOR_MS / cpuShare, longest)));
 };
 
-export interface Held {
+export interface HeldLock {
   term: Term;
-  stamp: Stamp;
+  version: Stamp;
 }
 
 /** Who holds the leader key, as far as could be read. */
@@ -38,52 +38,52 @@
   logger: Logger;
   measure: Measure;
   /** Who takes it; the term is filled in. */
-  me: LeaderValue;
+  identity: LeaderValue;
   /** The lease's time, in milliseconds. */
-  lifeMs: number;
+  leaseDurationMs: number;
   onLost: (why: string) => void;
 }
 
 export class Lock {
   /** A take-over is under way: what becomes of it is not known. */
-  contending = false;
-  private lease: KeptLease | null = null;
-  private held: Held | null = null;
+  isAcquiring = false;
+  private lease: RenewedLease | null = null;
+  private current: HeldLock | null = null;
 
   constructor(private readonly options: LockOptions) {}
 
   /** Past this a leader decides nothing and asserts nothing that could have changed. */
-  certain(): boolean {
-    return this.held !== null && this.lease !== null && this.lease.isValid();
+  isCertain(): boolean {
+    return this.current !== null && this.lease !== null && this.lease.isValid();
   }
 
   /** Until when the lock is certain, or was. */
-  get endsAt(): number {
-    return this.held && this.lease ? this.lease.endsAt : -Infinity;
+  get certainUntil(): number {
+    return this.current && this.lease ? this.lease.earliestExpiry : -Infinity;
   }
 
   /** Milliseconds since the lock was last certain; 0 while it is. */
-  uncertainFor(): number {
-    return Math.max(0, this.options.clock.steady() - this.endsAt);
+  uncertainForMs(): number {
+    return Math.max(0, this.options.clock.steady() - this.certainUntil);
   }
 
   /** Milliseconds since a renewal was answered in time; 0 without the lock. */
-  get untimelyMs(): number {
-    return this.held && this.lease ? this.lease.untimelyMs : 0;
+  get sinceTimelyRenewalMs(): number {
+    return this.current && this.lease ? this.lease.sinceTimelyRenewalMs : 0;
   }
 
-  get holding(): Held | null {
-    return this.held;
+  get held(): HeldLock | null {
+    return this.current;
   }
 
   /** Of the lock that is held, or was held last. */
-  figures(): RenewalFigures | null {
-    return this.lease?.figures ?? null;
+  renewalStatistics(): RenewalStatistics | null {
+    return this.lease?.statistics ?? null;
   }
 
   /** Tries to take the free lock. The term is raised in the same transaction. */
-  async contend(): Promise<Held | null> {
-    const { lifeMs, store } = this.options;
+  async tryAcquire(): Promise<HeldLock | null> {
+    const { leaseDurationMs: lifeMs, store } = this.options;
     const former = await store.get(TERM, lifeMs);
     if (former === undefined) return null;
     const formerTerm = former === null ? 0 : readTermValue(former.value);
@@ -92,35 +92,35 @@
     const term = (formerTerm + 1) as Term;
     const lease = await this.newLease();
     if (!lease) return null;
-    this.contending = true;
-    const stamp = await this.take(lease.id, term, former?.stamp ?? 0);
-    this.contending = false;
-    if (stamp === null || this.lease !== lease) {
+    this.isAcquiring = true;
+    const version = await this.take(lease.id, term, former?.stamp ?? 0);
+    this.isAcquiring = false;
+    if (version === null || this.lease !== lease) {
       void lease.end();
       return null;
     }
-    this.held = { term, stamp };
-    return this.held;
+    this.current = { term, version };
+    return this.current;
   }
 
   /** A lease that is renewed from now on: what is still to be asked may take longer than it lasts. */
-  private async newLease(): Promise<KeptLease | null> {
-    const { clock, lifeMs, logger, measure, store } = this.options;
+  private async newLease(): Promise<RenewedLease | null> {
+    const { clock, leaseDurationMs: lifeMs, logger, measure, store } = this.options;
     const askedAt = clock.steady();
     const id = await store.lease(lifeMs, lifeMs);
     if (id === undefined) return null;
-    const lease: KeptLease = new KeptLease({
-      ...{ store, clock, logger, measure, id, lifeMs, askedAt },
+    const lease: RenewedLease = new RenewedLease({
+      ...{ store, clock, logger, measure, id, leaseDurationMs: lifeMs, requestedAt: askedAt },
       onEnded: () => this.leaseEnded(lease),
     });
     this.lease = lease;
     return lease;
   }
 
-  private leaseEnded(lease: KeptLease): void {
+  private leaseEnded(lease: RenewedLease): void {
     lease.stop();
     if (this.lease !== lease) return;
-    if (this.held) this.lose('the lease ended');
+    if (this.current) this.markLost('the lease ended');
     else this.lease = null;
   }
 
@@ -141,7 +141,7 @@
   }
 
   private askFor(lease: LeaseId, term: Term, termStamp: Stamp): Promise<TxnResult> {
-    const { lifeMs, me, store } = this.options;
+    const { leaseDurationMs: lifeMs, identity: me, store } = this.options;
     const guards = [
       { key: LEADER, stamp: 0 },
       { key: TERM, stamp: termStamp },
@@ -165,7 +165,7 @@
   }
 
   private async readHolder(lease: LeaseId, term: Term): Promise<Holder> {
-    const { lifeMs, me, store } = this.options;
+    const { leaseDurationMs: lifeMs, identity: me, store } = this.options;
     const item = await store.get(LEADER, lifeMs);
     if (item === undefined) return NOT_READ;
     if (item === null) return { who: 'nobody' };
@@ -175,18 +175,21 @@
   }
 
   /** Somebody else leads, or may lead. */
-  lose(why: string): void {
-    if (!this.held) return;
-    this.options.logger.info({ term: this.held.term, why, renewals: this.figures() }, 'lock lost');
-    this.held = null;
+  markLost(why: string): void {
+    if (!this.current) return;
+    this.options.logger.info(
+      { term: this.current.term, why, renewals: this.renewalStatistics() },
+      'lock lost',
+    );
+    this.current = null;
     this.lease?.stop();
     this.options.onLost(why);
   }
 
   /** Gives the lock away, so that another need not wait for the lease to run out. */
   release(why: string): void {
-    const { held, lease } = this;
-    this.lose(why);
+    const { current: held, lease } = this;
+    this.markLost(why);
     if (held && lease) void lease.end();
   }
 }
--- a/src/actors/node-pace.ts
+++ b/src/actors/node-pace.ts
@@ -13,9 +13,9 @@
 /** What queued while the process stood still is read within this time after. */
 const QUEUED_MS = 500;
 
-export class NodePace {
+export class StallMonitor {
   /** Silence of others counts from here on at the earliest: the take-over, or the end of a standstill. */
-  since: SteadyMs;
+  observingSince: SteadyMs;
   private lastStep: SteadyMs;
   private wokeAt = -Infinity;
   private tickedAt = Infinity;
@@ -25,15 +25,15 @@
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {
-    this.since = this.lastStep = clock.steady();
+    this.observingSince = this.lastStep = clock.steady();
   }
 
   /** To be called whenever something is handled. */
-  step(): void {
+  noteActivity(): void {
     const now = this.clock.steady();
     if (now - this.lastStep > STOOD_STILL_MS) {
       this.logger.info({ ms: Math.round(now - this.lastStep) }, 'stood still');
-      this.since = now;
+      this.observingSince = now;
       this.wokeAt = now;
     }
     this.lastStep = now;
--- a/src/actors/pulse.ts
+++ b/src/actors/pulse.ts
@@ -10,7 +10,7 @@
 /** Jobs without room that are named. */
 const NAMED_WAITING = 8;
 
-export interface PulseOptions {
+export interface LeaderStatusLogOptions {
   state: ClusterState;
   workers: WorkersActor;
   clock: Clock;
@@ -20,14 +20,14 @@
   writes: Readonly<{ count: number; ms: number }>;
 }
 
-export class Pulse {
+export class LeaderStatusLog {
   private lastAt: SteadyMs = -Infinity as SteadyMs;
   /** Ends of tasks since the last pulse, by cause. */
   private ends: Partial<Record<EndCause, number>> = {};
   /** The longest steps since the last pulse, in milliseconds: nothing is answered meanwhile. */
   private longest = { round: 0, fold: 0 };
 
-  constructor(private readonly options: PulseOptions) {}
+  constructor(private readonly options: LeaderStatusLogOptions) {}
 
   noteStep(step: 'round' | 'fold', ms: number): void {
     this.longest[step] = Math.max(this.longest[step], Math.round(ms));
@@ -40,7 +40,7 @@
   }
 
   /** Logs how things stand, if it is time. */
-  beat(usable: number, waiting: PlacementResult['unplaced']): void {
+  logIfDue(usable: number, waiting: PlacementResult['unplaced']): void {
     const { clock, logger, state, term, workers, writes } = this.options;
     if (clock.steady() - this.lastAt <= PULSE_MS) return;
     this.lastAt = clock.steady();
--- a/src/actors/reach-claims.ts
+++ b/src/actors/reach-claims.ts
@@ -20,7 +20,7 @@
   ) {}
 
   /** Says that so many workers ask this node, under the term of the leader that it can't hear. */
-  claim(term: Term, workers: number): void {
+  publish(term: Term, workers: number): void {
     if (this.clock.steady() - this.claimedAt < CLAIMS_APART_MS) return;
     this.claimedAt = this.clock.steady();
     void this.store.txn([], [{ put: reachKey(this.me), value: { term, workers } }]);
--- a/src/actors/report-intake.ts
+++ b/src/actors/report-intake.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from '../core/state.js';
 import type { MachineId, Term, WorkerReport } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import type { NodePace } from './node-pace.js';
+import type { StallMonitor } from './node-pace.js';
 import type { PendingFacts } from './pending-facts.js';
 import type { TaskProgress } from './task-progress.js';
 import { isOlder, repeats, viewOfSession, type WorkerView } from './worker-view.js';
@@ -23,7 +23,7 @@
 export interface ReportIntakeOptions {
   state: ClusterState;
   clock: Clock;
-  pace: NodePace;
+  pace: StallMonitor;
   progress: TaskProgress;
   facts: PendingFacts;
   term: Term;
@@ -38,7 +38,7 @@
   private lastHeardAt = -Infinity;
   private readonly state: ClusterState;
   private readonly clock: Clock;
-  private readonly pace: NodePace;
+  private readonly pace: StallMonitor;
 
   constructor(private readonly options: ReportIntakeOptions) {
     this.state = options.state;
@@ -49,7 +49,7 @@
   /** Seconds without a report; counted from the take-over at the earliest. */
   secondsSilent(machine: Machine): number {
     const heardAt = this.views.get(machine.id)?.heardAt ?? -Infinity;
-    return (this.clock.steady() - Math.max(heardAt, this.pace.since + COMING_OVER_MS)) / 1000;
+    return (this.clock.steady() - Math.max(heardAt, this.pace.observingSince + COMING_OVER_MS)) / 1000;
   }
 
   canTakeWork(machine: Machine): boolean {
@@ -76,8 +76,9 @@
 
   /** Whether each of at least two machines at work has missed a report, or has not come since the take-over. */
   areAllSilent(): boolean {
-    this.pace.step();
-    if (this.clock.steady() - Math.max(this.pace.since, this.lastHeardAt) < this.latestMs) return false;
+    this.pace.noteActivity();
+    if (this.clock.steady() - Math.max(this.pace.observingSince, this.lastHeardAt) < this.latestMs)
+      return false;
     let up = 0;
     for (const machine of this.state.machines.values()) if (isAvailable(machine)) up++;
     return up >= 2;
--- a/src/actors/state-service-doubt.ts
+++ b/src/actors/state-service-doubt.ts
@@ -13,22 +13,22 @@
 const STUCK_DOUBT_LEASES = 1;
 const STUCK_MOST_LEASES = 4;
 /** A status of a peer says something for so long: three of its intervals. */
-export const STATUS_FRESH_MS = 1500;
+export const STATUS_MAX_AGE_MS = 1500;
 /**
  * A node that gave the lock away for this reason is no evidence for so long. What slows all of them down then
  * moves the lock to each node once at the most, and leaves it there.
  */
-export const GAVE_WAY_MS = 60_000;
+export const GAVE_WAY_EXCLUSION_MS = 60_000;
 
 /** How the holder of the lock fares at the state service. */
 export interface HolderProgress {
   /** Milliseconds since a renewal was answered in time. */
-  untimelyMs: number;
+  sinceTimelyRenewalMs: number;
   /** Milliseconds that its present write, or its take-over, has been under way. */
-  stuckMs: number;
+  pendingMs: number;
 }
 
-export class StateServiceDoubt {
+export class StateServiceMonitor {
   /** Since when a peer has been reaching the state service without a break, while this node is in doubt. */
   private peerReachesSince: SteadyMs | null = null;
   private doubting = false;
@@ -56,11 +56,11 @@
    * peer has to be answered for a lease's time, in which each renewal of this node had its chance.
    */
   check(progress: HolderProgress, peers: readonly HeardStatus[]): string | null {
-    const isLate = progress.untimelyMs > this.lifeMs * DOUBT_AFTER_LEASES;
-    const isStuck = progress.stuckMs > this.lifeMs * STUCK_DOUBT_LEASES;
+    const isLate = progress.sinceTimelyRenewalMs > this.lifeMs * DOUBT_AFTER_LEASES;
+    const isStuck = progress.pendingMs > this.lifeMs * STUCK_DOUBT_LEASES;
     this.note(isLate || isStuck, progress);
     const peerReaches = peers.some(
-      ({ status, age }) => age < STATUS_FRESH_MS && status.reachesState && !status.gaveWay,
+      ({ status, age }) => age < STATUS_MAX_AGE_MS && status.reachesState && !status.gaveWay,
     );
     if (!this.doubting || !peerReaches) {
       this.peerReachesSince = null;
@@ -69,15 +69,15 @@
     this.peerReachesSince ??= this.clock.steady();
     if (this.clock.steady() - this.peerReachesSince < this.lifeMs) return null;
     if (isLate) return 'renewals are answered too late, and a peer is answered in time';
-    if (progress.stuckMs < this.lifeMs * STUCK_MOST_LEASES) return null;
+    if (progress.pendingMs < this.lifeMs * STUCK_MOST_LEASES) return null;
     return 'records do not get through, and the state service answers a peer';
   }
 
   private note(isDoubting: boolean, progress: HolderProgress): void {
     if (isDoubting === this.doubting) return;
     this.doubting = isDoubting;
-    const untimelyMs = Math.round(progress.untimelyMs);
-    const stuckMs = Math.round(progress.stuckMs);
+    const untimelyMs = Math.round(progress.sinceTimelyRenewalMs);
+    const stuckMs = Math.round(progress.pendingMs);
     this.logger.info(
       { untimelyMs, stuckMs },
       isDoubting ? 'state service in doubt' : 'state service answers again',
--- a/src/actors/uncertain-answers.ts
+++ b/src/actors/uncertain-answers.ts
@@ -6,7 +6,7 @@
 import type { Clock } from '../io/clock.js';
 import type { PeerStatus } from '../io/peers.js';
 import type { Settings } from '../wire/settings.js';
-import { DRIFT } from './lease.js';
+import { MAX_CLOCK_DRIFT } from './lease.js';
 import type { Lock } from './lock.js';
 
 /** Workers end their tasks this soon after their lease. */
@@ -29,9 +29,9 @@
 
   /** A peer answered a question put at that time: it has not led since `noOtherLedUntil`, and is not about to. */
   vouch(status: PeerStatus, askedAt: SteadyMs): void {
-    if (status.term > (this.lock.holding?.term ?? 0) || status.takingOver) return;
+    if (status.term > (this.lock.held?.term ?? 0) || status.takingOver) return;
     // A node that came up later knows nothing of what its former run did.
-    const remembersFrom = this.clock.steady() - status.remembersMs * (1 - DRIFT);
+    const remembersFrom = this.clock.steady() - status.remembersMs * (1 - MAX_CLOCK_DRIFT);
     if (remembersFrom > this.noOtherLedUntil()) return;
     this.vouchedAt.set(status.node, askedAt);
   }
@@ -43,13 +43,13 @@
    */
   areAllowed(): boolean {
     const { lease_s, cancel_s } = this.settings.cluster.workers;
-    const longestMs = lease_s * 1000 + cancel_s * 1000 * DRIFT + TASKS_END_MS;
+    const longestMs = lease_s * 1000 + cancel_s * 1000 * MAX_CLOCK_DRIFT + TASKS_END_MS;
     return this.clock.steady() + longestMs < this.noOtherLedUntil() + cancel_s * 1000;
   }
 
   /** The latest moment at which, as far as is known here, no other node can have led. */
   private noOtherLedUntil(): number {
     const others = this.settings.seeds.map((seed) => this.vouchedAt.get(seed.node) ?? -Infinity);
-    return Math.max(this.lock.endsAt, Math.min(Infinity, ...others));
+    return Math.max(this.lock.certainUntil, Math.min(Infinity, ...others));
   }
 }
--- a/src/actors/user-requests.ts
+++ b/src/actors/user-requests.ts
@@ -81,7 +81,7 @@
   /** The number of the next record. Guards older answers: only a leader that holds its lock knows it. */
   private async answerPosition(): Promise<PeerAnswer> {
     const { follower, leading, lock } = this.options;
-    const ok = (await leading()?.log.whenSettled(SETTLE_MS)) === true && lock.certain();
+    const ok = (await leading()?.log.whenSettled(SETTLE_MS)) === true && lock.isCertain();
     return {
       status: ok ? 200 : 503,
       body: JSON.stringify({ next: follower.state.nextRecord }),
--- a/src/actors/worker-reach.ts
+++ b/src/actors/worker-reach.ts
@@ -19,20 +19,20 @@
 /** Claims are read at most this often. */
 const READS_APART_MS = 700;
 
-export interface WorkerReachOptions {
+export interface WorkerReachabilityOptions {
   clock: Clock;
   claims: ReachClaims;
   /** How many other controllers there are. */
-  others: number;
+  peerCount: number;
 }
 
-export class WorkerReach {
+export class WorkerReachability {
   private betterReachedSince: SteadyMs | null = null;
   /** The latest claim seen of each peer that can't be heard, and how often it changed since workers fell silent. */
   private claimsReadAt = -Infinity;
   private readonly claimed = new Map<string, { stamp: number; changes: number }>();
 
-  constructor(private readonly options: WorkerReachOptions) {}
+  constructor(private readonly options: WorkerReachabilityOptions) {}
 
   /** Workers are heard, or nobody leads here. */
   reset(): void {
@@ -42,7 +42,7 @@
 
   /** Called again and again while no worker is heard: why to give the lock away now; null: keep it. */
   async check(term: Term, peers: readonly HeardStatus[]): Promise<string | null> {
-    const { clock, claims, others } = this.options;
+    const { clock, claims, peerCount: others } = this.options;
     const heard = peers.filter(({ age }) => age < STATUS_FRESH_MS).map(({ status }) => status);
     const isBetterReached = heard.some(({ workers, leaderTerm }) => workers > 0 && leaderTerm === term);
     if (!isBetterReached) this.betterReachedSince = null;
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -16,7 +16,7 @@
 import { FirstReports } from './first-reports.js';
 import { Introductions } from './introductions.js';
 import type { LogActor } from './log.js';
-import { NodePace } from './node-pace.js';
+import { StallMonitor } from './node-pace.js';
 import { PendingFacts } from './pending-facts.js';
 import { ReportIntake } from './report-intake.js';
 import { TaskProgress } from './task-progress.js';
@@ -80,7 +80,7 @@
   private readonly state: ClusterState;
   /** What was heard of each worker. */
   readonly intake: ReportIntake;
-  private readonly pace: NodePace;
+  private readonly pace: StallMonitor;
   private readonly firstReports: FirstReports;
   private readonly facts: PendingFacts;
   private readonly calls: DirectCalls;
@@ -97,7 +97,7 @@
     const { state, log, clock, logger, term } = options;
     this.state = state;
     this.progress = new TaskProgress(state, clock);
-    this.pace = new NodePace(clock, logger);
+    this.pace = new StallMonitor(clock, logger);
     this.facts = new PendingFacts(state, log, options.onFactWritten);
     const { pace, progress, facts } = this;
     this.intake = new ReportIntake({ ...options, pace, progress, facts });
@@ -138,7 +138,7 @@
   }
 
   protected receive(message: WorkerMessage): void {
-    this.pace.step();
+    this.pace.noteActivity();
     if (message.kind === 'report') message.reply(this.answerReport(message.report));
     else if (message.kind === 'commandsDue') for (const id of message.machines) this.callWithCommands(id);
     else if (message.kind === 'tick') this.tick();
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { lockMs } from '../src/actors/lock.js';
+import { lockLeaseDurationMs } from '../src/actors/lock.js';
 import { expectAllAnswered, expectAllOver, resolved, startWorld } from './fakes/scenarios.js';
 import { World } from './fakes/world.js';
 
@@ -237,8 +237,8 @@
 
 describe('the lease of the leader key', () => {
   it('grows as the share of a core shrinks, up to a third of a worker lease', () => {
-    expect([1, 0.34, 0.136].map((share) => lockMs(share, 16))).toEqual([2500, 2500, 2500]);
-    expect(lockMs(0.1, 16)).toBe(3400);
-    expect(lockMs(0.04, 18)).toBe(6000);
+    expect([1, 0.34, 0.136].map((share) => lockLeaseDurationMs(share, 16))).toEqual([2500, 2500, 2500]);
+    expect(lockLeaseDurationMs(0.1, 16)).toBe(3400);
+    expect(lockLeaseDurationMs(0.04, 18)).toBe(6000);
   });
 });
--- a/test/fakes/leadership.ts
+++ b/test/fakes/leadership.ts
@@ -3,7 +3,7 @@
 
 const SAMPLE_MS = 50;
 
-export interface LeadershipFigures {
+export interface LeadershipStatistics {
   /** Share of the time with a node that is certain to lead. */
   share: number;
   /** The longest time without one, in milliseconds. */
@@ -14,7 +14,7 @@
   conflicts: number;
 }
 
-export class LeadershipWatch {
+export class LeadershipMonitor {
   private readonly from: number;
   private ledMs = 0;
   private gapSince: number;
@@ -32,7 +32,7 @@
     this.sample();
   }
 
-  stop(): LeadershipFigures {
+  stop(): LeadershipStatistics {
     this.stopped = true;
     const { now } = this.world.time;
     return {
--- a/test/fakes/leading.ts
+++ b/test/fakes/leading.ts
@@ -7,9 +7,9 @@
 import { silent } from './world.js';
 
 /** Report period of the workers, in seconds. */
-export const REPORT_S = 3;
+export const REPORT_PERIOD_S = 3;
 
-export interface Leading {
+export interface WorkersActorFixture {
   state: ClusterState;
   time: VirtualTime;
   call: HttpCall;
@@ -19,13 +19,13 @@
 }
 
 /** What a leader with a certain lock hears of its workers and tells them. */
-export const leadingWorkers = (of: Leading): WorkersActor =>
+export const createWorkersActor = (of: WorkersActorFixture): WorkersActor =>
   new WorkersActor({
     ...{ state: of.state, call: of.call, logger: silent },
     log: { tell: of.append ?? (() => {}) } as never,
     clock: new NodeClock(of.time, 1, 0),
     term: (of.term ?? 1) as Term,
-    reportPeriodS: REPORT_S,
+    reportPeriodS: REPORT_PERIOD_S,
     mostCalls: of.mostCalls ?? 150,
     isCertain: () => true,
     mayAnswerUncertain: () => true,
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -8,7 +8,7 @@
 import { readJob, writeElsewhere, writeOrders } from '../../src/wire/schemas.js';
 import { Checker, type JobOnWire, type Place } from './checker.js';
 import { VirtualTime } from './clock.js';
-import { leadingWorkers, REPORT_S } from './leading.js';
+import { createWorkersActor, REPORT_PERIOD_S } from './leading.js';
 import { FakeWorker } from './worker.js';
 import { box, write } from './world.js';
 
@@ -77,7 +77,7 @@
       { e: 'types', types: [box] },
       { e: 'up', m: this.machine, addr: 'vm-1:1', type: 'box', zone: 'a', spot: false, s: 1 as never },
     ]);
-    const settings = { report_s: REPORT_S, lease_s: 16, gang_wait_s: 30, gang_peer_s: 5 };
+    const settings = { report_s: REPORT_PERIOD_S, lease_s: 16, gang_wait_s: 30, gang_peer_s: 5 };
     this.worker = new FakeWorker(PLACE, 'vm-1:1', this.reports(), {
       ...{ time: this.time, random: () => 0.5, checker: this.checker, settings, failing: new Set<string>() },
       nodes: [{ name: 'n0', address: 'n0:80' }],
@@ -204,7 +204,7 @@
   }
 
   private lead(): WorkersActor {
-    const leader: WorkersActor = leadingWorkers({
+    const leader: WorkersActor = createWorkersActor({
       state: this.state,
       time: this.time,
       call: this.directCalls(),
--- a/test/giving-way.test.ts
+++ b/test/giving-way.test.ts
@@ -1,8 +1,12 @@
 /** When the holder of the lock gives it away, decided from what it measures and what its peers say. */
 import { describe, expect, it } from 'vitest';
-import { KeyValues } from '../src/actors/key-values.js';
-import { GAVE_WAY_MS, StateServiceDoubt, type HolderProgress } from '../src/actors/state-service-doubt.js';
-import { WorkerReach } from '../src/actors/worker-reach.js';
+import { KeyReader } from '../src/actors/key-values.js';
+import {
+  GAVE_WAY_EXCLUSION_MS,
+  StateServiceMonitor,
+  type HolderProgress,
+} from '../src/actors/state-service-doubt.js';
+import { WorkerReachability } from '../src/actors/worker-reach.js';
 import type { Term } from '../src/core/types.js';
 import { isSoundStatus, type HeardStatus, type PeerStatus } from '../src/io/peers.js';
 import { readReachClaim, type ReachClaim } from '../src/wire/keys.js';
@@ -36,7 +40,7 @@
   peers: (now: number) => HeardStatus[],
 ): Promise<{ why: string; at: number } | null> => {
   const time = new VirtualTime();
-  const doubt = new StateServiceDoubt(new NodeClock(time, 1, 0), silent, LIFE_MS);
+  const doubt = new StateServiceMonitor(new NodeClock(time, 1, 0), silent, LIFE_MS);
   for (; time.now < ms; await time.run(250)) {
     const why = doubt.check(progress(time.now), peers(time.now));
     if (why) return { why, at: time.now };
@@ -44,8 +48,8 @@
   return null;
 };
 
-const late = (now: number): HolderProgress => ({ untimelyMs: now, stuckMs: 0 });
-const stuck = (now: number): HolderProgress => ({ untimelyMs: 100, stuckMs: now });
+const late = (now: number): HolderProgress => ({ sinceTimelyRenewalMs: now, pendingMs: 0 });
+const stuck = (now: number): HolderProgress => ({ sinceTimelyRenewalMs: 100, pendingMs: now });
 const HALF_A_MINUTE = 30_000;
 
 describe('a holder whose renewals are answered too late', () => {
@@ -90,14 +94,14 @@
   });
 });
 
-it('a node counts as evidence again after a minute', () => expect(GAVE_WAY_MS).toBe(60_000));
+it('a node counts as evidence again after a minute', () => expect(GAVE_WAY_EXCLUSION_MS).toBe(60_000));
 
 describe('a leader that no worker reaches', () => {
   const reach = (claims: () => ReachClaim[] = () => []) => {
     const time = new VirtualTime();
     const read = { read: () => Promise.resolve(claims()) };
     const clock = new NodeClock(time, 1, 0);
-    return { time, worker: new WorkerReach({ clock, claims: read as never, others: 2 }) };
+    return { time, worker: new WorkerReachability({ clock, claims: read as never, peerCount: 2 }) };
   };
   /** The reason and when it came, checking each 250 ms. */
   const givenWithin = async (
@@ -147,12 +151,12 @@
 describe('values that can not be read', () => {
   it('prove nothing, and are logged once', () => {
     const errors: unknown[] = [];
-    const values = new KeyValues({ ...silent, error: (what: unknown) => errors.push(what) } as never);
+    const values = new KeyReader({ ...silent, error: (what: unknown) => errors.push(what) } as never);
     const bad = [null, undefined, 7, 'n1', [], { node: 'n1' }, { node: '', term: 1, run: 'r' }];
-    for (const value of bad) expect(values.leader(value)).toEqual({ node: '', term: 0, run: '' });
+    for (const value of bad) expect(values.readLeader(value)).toEqual({ node: '', term: 0, run: '' });
     for (const value of [{ term: -1 }, { term: 1.5 }, { term: 'x' }, 'x', null])
-      expect(values.term(value)).toBeNull();
-    expect(values.term(undefined)).toBe(0);
+      expect(values.readTerm(value)).toBeNull();
+    expect(values.readTerm(undefined)).toBe(0);
     expect(errors).toHaveLength(2);
   });
 
--- a/test/hand-over.test.ts
+++ b/test/hand-over.test.ts
@@ -7,7 +7,7 @@
  * their leases ended with all their tasks ("lock lost: no worker reaches this node" in the log).
  */
 import { describe, expect, it } from 'vitest';
-import { LeadershipWatch } from './fakes/leadership.js';
+import { LeadershipMonitor } from './fakes/leadership.js';
 import { expectAllAnswered, expectAllOver, startWorld } from './fakes/scenarios.js';
 import type { World } from './fakes/world.js';
 
@@ -39,7 +39,7 @@
       w.freeze(second, 30_000);
       const third = await nextLeader(w, second);
       expect([first, second]).not.toContain(third);
-      const watch = new LeadershipWatch(w);
+      const watch = new LeadershipMonitor(w);
       await w.time.run(20_000);
       expect(w.leader()).toBe(third);
       expect(watch.stop()).toMatchObject({ changes: 0, conflicts: 0, longestGapMs: 0 });
@@ -57,7 +57,7 @@
     await w.time.run(25_000);
     const was = w.leader();
     const before = sessions(w);
-    const watch = new LeadershipWatch(w);
+    const watch = new LeadershipMonitor(w);
     for (const id of w.workers.keys()) w.network.cut(id, `n${was}:80`, 60_000);
     for (const id of w.workers.keys()) w.network.cut(`n${was}`, `${id}:9000`, 60_000);
     await w.time.run(40_000);
@@ -74,7 +74,7 @@
     const was = w.leader();
     for (const other of [0, 1, 2]) if (other !== was) powerOff(w, other, 90_000);
     await w.time.run(2000);
-    const watch = new LeadershipWatch(w);
+    const watch = new LeadershipMonitor(w);
     for (const id of w.workers.keys()) w.network.cut(id, `n${was}:80`, 8000);
     await w.time.run(30_000);
     expect(w.leader()).toBe(was);
--- a/test/lease.test.ts
+++ b/test/lease.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { KeptLease } from '../src/actors/lease.js';
+import { RenewedLease } from '../src/actors/lease.js';
 import { HedgedTransaction } from '../src/actors/write-copies.js';
 import type { SteadyMs } from '../src/core/types.js';
 import type { Renewal, Store, TxnResult } from '../src/wire/store.js';
@@ -25,14 +25,14 @@
       }),
     endLease: () => Promise.resolve(++seen.endRequests === 3),
   };
-  const lease = new KeptLease({
+  const lease = new RenewedLease({
     ...{
       store: store as never as Store,
       clock: new NodeClock(time, 1, 0),
       logger: silent,
       measure: () => {},
     },
-    ...{ id: 1, lifeMs: LIFE_MS, askedAt: 0 as SteadyMs },
+    ...{ id: 1, leaseDurationMs: LIFE_MS, requestedAt: 0 as SteadyMs },
     onEnded: () => seen.ended++,
   });
   return { time, lease, seen };
@@ -56,7 +56,7 @@
       await time.run(50);
       expect(lease.isValid()).toBe(true);
     }
-    expect(lease.figures).toMatchObject({ late: 0, unanswered: 0, uncertainMs: 0 });
+    expect(lease.statistics).toMatchObject({ late: 0, unanswered: 0, uncertainMs: 0 });
   });
 
   it('has four renewals open at the most, and sends four in its time', async () => {
@@ -64,7 +64,7 @@
     await time.run(10 * LIFE_MS);
     expect(seen.mostOpen).toBe(4);
     expect(seen.renewals).toBe(40);
-    expect(lease.figures.unanswered).toBe(36);
+    expect(lease.statistics.unanswered).toBe(36);
   });
 
   it('is not extended by a refusal, and says when it ended', async () => {
@@ -73,7 +73,7 @@
       renewal: time.now < 2500 ? 'refused' : 'ended',
     }));
     await time.run(2400);
-    expect([lease.isValid(), seen.ended, lease.figures.refused]).toEqual([true, 0, 2]);
+    expect([lease.isValid(), seen.ended, lease.statistics.refused]).toEqual([true, 0, 2]);
     await time.run(1000);
     expect(seen.ended).toBe(1);
     await time.run(1000);
--- a/test/lock.property.test.ts
+++ b/test/lock.property.test.ts
@@ -4,7 +4,7 @@
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
-import { LeadershipWatch } from './fakes/leadership.js';
+import { LeadershipMonitor } from './fakes/leadership.js';
 import { World } from './fakes/world.js';
 
 const SEED = Number(process.env.LOCK_SEED ?? 20261203);
@@ -87,7 +87,7 @@
 const play = async (seed: number, troubles: Trouble[]): Promise<void> => {
   const w = new World(seed);
   await w.started();
-  const watch = new LeadershipWatch(w, SAMPLE_MS);
+  const watch = new LeadershipMonitor(w, SAMPLE_MS);
   const requests: Slow[] = [];
   const answers: Slow[] = [];
   w.network.holds = (address, _body, path) => heldMs(w, requests, address, path);
--- a/test/slow-state-service.test.ts
+++ b/test/slow-state-service.test.ts
@@ -9,8 +9,8 @@
  * SLOW_STATE_SEEDS runs more seeds than CI does.
  */
 import { describe, expect, it } from 'vitest';
-import { lockMs } from '../src/actors/lock.js';
-import { LeadershipWatch } from './fakes/leadership.js';
+import { lockLeaseDurationMs } from '../src/actors/lock.js';
+import { LeadershipMonitor } from './fakes/leadership.js';
 import { expectAllAnswered, expectAllOver } from './fakes/scenarios.js';
 import { World } from './fakes/world.js';
 
@@ -82,14 +82,14 @@
   const w = new World(seed, undefined, { machine_limits: { cpu_share: share, mem_mb: 300, sockets: 2000 } });
   await w.started();
   const node = await begin(w, start);
-  const watch = new LeadershipWatch(w);
+  const watch = new LeadershipMonitor(w);
   slowDown(w, node, slowness);
   await w.time.run(WATCHED_MS);
   const slow = watch.stop();
   w.network.holds = () => 0;
   w.network.holdsAnswer = () => 0;
-  const after = new LeadershipWatch(w);
-  const lock = lockMs(share, WORKER_LEASE_S);
+  const after = new LeadershipMonitor(w);
+  const lock = lockLeaseDurationMs(share, WORKER_LEASE_S);
   await w.time.run(2 * lock + TAKE_OVER_MS);
   const { longestGapMs: recoveryMs, conflicts } = after.stop();
   if (start === 'users') {
@@ -142,7 +142,7 @@
       const w = new World(seed);
       await w.started();
       await w.time.run(20_000);
-      const watch = new LeadershipWatch(w);
+      const watch = new LeadershipMonitor(w);
       w.network.holdsAnswer = (address) =>
         address.startsWith('state-for-') && w.random() < 0.7 ? 1900 + w.random() * 500 : 0;
       await w.time.run(180_000);
--- a/test/workers.test.ts
+++ b/test/workers.test.ts
@@ -5,7 +5,7 @@
 import type { HttpAnswer, HttpCall } from '../src/io/http-client.js';
 import { readReport } from '../src/wire/reports.js';
 import { VirtualTime } from './fakes/clock.js';
-import { leadingWorkers } from './fakes/leading.js';
+import { createWorkersActor } from './fakes/leading.js';
 import { box, write } from './fakes/world.js';
 
 const MACHINES = 1260;
@@ -18,7 +18,7 @@
   call: HttpCall,
   log: (entries: LogEntry[]) => void = () => {},
 ): WorkersActor =>
-  leadingWorkers({ state, time, call, append: ({ entries }) => log(entries), mostCalls: MOST });
+  createWorkersActor({ state, time, call, append: ({ entries }) => log(entries), mostCalls: MOST });
 
 /** A leader's ear and mouth on a large site, with one task started on each machine. */
 function site() {
