--- a/src/actors/admission.ts
+++ b/src/actors/admission.ts
@@ -20,7 +20,7 @@
   | { kind: 'show'; job: JobId; reply: (r: Reply) => void }
   | { kind: 'withdraw'; job: JobId; reply: (r: Reply) => void };
 
-export const later = (why: string, seconds = 1, status = 503): Reply => ({
+export const retryLater = (why: string, seconds = 1, status = 503): Reply => ({
   status,
   body: { error: why },
   retryAfter: seconds,
@@ -33,7 +33,11 @@
 }
 
 /** What the log says of a job; null when it knows no such job. */
-export function standing(state: ClusterState, id: JobId, runningOf: (job: Job) => number): Reply | null {
+export function jobStatusReply(
+  state: ClusterState,
+  id: JobId,
+  runningOf: (job: Job) => number,
+): Reply | null {
   const f = finalAnswer(state, id);
   if (f) return f;
   const job = state.jobs.get(id);
@@ -43,7 +47,7 @@
   return { status: 200, body: writeStanding(id, s, { done: job.done, running }) };
 }
 
-export const noSuchJob: Reply = { status: 404, body: { error: 'no such job' } };
+export const jobNotFound: Reply = { status: 404, body: { error: 'no such job' } };
 
 export interface AdmissionOptions {
   state: ClusterState;
@@ -51,11 +55,11 @@
   clock: Clock;
   teams: readonly Team[];
   /** The size of a value of the state service, in KiB: a job has to fit into one. */
-  valueKb: number;
+  maxValueKb: number;
   /** Whether the lock is certain to be held. */
   isCertain: () => boolean;
   /** How many tasks of a job run. */
-  running: (job: Job) => number;
+  countRunningTasks: (job: Job) => number;
   /** A cancellation is on its way into a record, or no more. */
   onCancelling: (job: JobId, isUnderWay: boolean) => void;
 }
@@ -90,16 +94,16 @@
   }
 
   private standing(id: JobId): Reply | null {
-    return standing(this.state, id, this.options.running);
+    return jobStatusReply(this.state, id, this.options.countRunningTasks);
   }
 
   private show(id: JobId, reply: (r: Reply) => void): void {
     const f = finalAnswer(this.state, id);
     if (f) return reply(f);
     // Guards forgotten and older answers: only a leader that holds its lock may say what can change.
-    if (!this.options.isCertain()) return reply(later('not certain to lead'));
+    if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
     if (this.log.hasWriteInFlightFor(id)) return this.afterWrite(reply, () => this.show(id, reply));
-    reply(this.standing(id) ?? noSuchJob);
+    reply(this.standing(id) ?? jobNotFound);
   }
 
   /**
@@ -109,24 +113,25 @@
   private afterWrite(reply: (r: Reply) => void, then: () => void): void {
     void this.log
       .whenSettled(SETTLE_MS)
-      .then((ok) => (ok ? then() : reply(later('a write is not answered'))));
+      .then((ok) => (ok ? then() : reply(retryLater('a write is not answered'))));
   }
 
   private submit(spec: JobSpec, reply: (r: Reply) => void): void {
     const f = finalAnswer(this.state, spec.id);
     if (f) return reply(f);
-    if (!this.options.isCertain()) return reply(later('not certain to lead'));
+    if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
     if (this.log.hasWriteInFlightFor(spec.id) && !this.open.has(`s ${spec.id}`))
       return this.afterWrite(reply, () => this.submit(spec, reply));
     const known = this.standing(spec.id);
     if (known) return reply(known);
     const no = checkAdmission(spec, this.options.teams, this.state.machineTypes.values());
-    if (no) return reply(no.status === 503 ? later(no.reason) : { status: 422, body: { error: no.reason } });
+    if (no)
+      return reply(no.status === 503 ? retryLater(no.reason) : { status: 422, body: { error: no.reason } });
     // What no record can hold would stop the pen for good.
-    if (Buffer.byteLength(JSON.stringify(spec)) > this.options.valueKb * 1024 - 400)
+    if (Buffer.byteLength(JSON.stringify(spec)) > this.options.maxValueKb * 1024 - 400)
       return reply({ status: 400, body: { error: 'the description is too long to be kept' } });
     this.write(`s ${spec.id}`, { e: 'job', spec }, reply, () => ({
-      ...(this.standing(spec.id) ?? later('not written')),
+      ...(this.standing(spec.id) ?? retryLater('not written')),
       status: this.state.jobs.has(spec.id) || this.state.outcomes.has(spec.id) ? 201 : 503,
     }));
   }
@@ -134,23 +139,23 @@
   private withdraw(id: JobId, reply: (r: Reply) => void): void {
     const f = finalAnswer(this.state, id);
     if (f) return reply(f);
-    if (!this.options.isCertain()) return reply(later('not certain to lead'));
+    if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
     if (!this.state.jobs.has(id)) {
       // Its submission may be on its way into a record.
-      return reply(this.open.has(`s ${id}`) ? later('being submitted') : noSuchJob);
+      return reply(this.open.has(`s ${id}`) ? retryLater('being submitted') : jobNotFound);
     }
     this.write(
       `w ${id}`,
       { e: 'withdraw', job: id },
       reply,
-      () => finalAnswer(this.state, id) ?? later('not written'),
+      () => finalAnswer(this.state, id) ?? retryLater('not written'),
     );
   }
 
   private write(key: string, entry: LogEntry, reply: (r: Reply) => void, then: () => Reply): void {
     // What can't be written soon is refused at once: the user is told when to come back.
-    if (this.log.unansweredWriteMs > STUCK_MS) return reply(later('the state service does not answer'));
-    if (this.log.pendingUrgent > QUEUE_MOST) return reply(later('too much at once', 2, 429));
+    if (this.log.unansweredWriteMs > STUCK_MS) return reply(retryLater('the state service does not answer'));
+    if (this.log.pendingUrgent > QUEUE_MOST) return reply(retryLater('too much at once', 2, 429));
     let answered = false;
     const end = (r: Reply): void => {
       if (answered) return;
@@ -158,8 +163,9 @@
       cancel();
       reply(r);
     };
-    const cancel = this.options.clock.after(ANSWER_MS, () => end(later('not written in time')));
-    const done = (ok: boolean): void => end(ok && this.options.isCertain() ? then() : later('not written'));
+    const cancel = this.options.clock.after(ANSWER_MS, () => end(retryLater('not written in time')));
+    const done = (ok: boolean): void =>
+      end(ok && this.options.isCertain() ? then() : retryLater('not written'));
     const same = this.open.get(key);
     if (same) return void same.push(done);
     const list = [done];
--- a/src/actors/cloud.ts
+++ b/src/actors/cloud.ts
@@ -11,9 +11,9 @@
 import type { LogActor } from './log.js';
 
 type CloudMessage =
-  | { t: 'tick' }
+  | { kind: 'tick' }
   /** Machines to be returned without a record: what is withdrawn runs there and can't be stopped. */
-  | { t: 'fence'; machines: Machine[] };
+  | { kind: 'returnWithoutRecord'; machines: Machine[] };
 
 const place = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
@@ -50,7 +50,7 @@
   }
 
   private spend(): boolean {
-    if (this.calls.left < 1) return false;
+    if (this.calls.available < 1) return false;
     this.calls.take(1);
     return true;
   }
@@ -58,7 +58,7 @@
   protected receive(m: CloudMessage): void {
     const now = this.clock.steady();
     if (now < this.notBefore) return;
-    if (m.t === 'fence') return this.giveBack(m.machines);
+    if (m.kind === 'returnWithoutRecord') return this.giveBack(m.machines);
     if (!this.certain()) return;
     this.giveBack([...this.state.machines.values()].filter((x) => x.drop));
     this.rent();
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -13,7 +13,7 @@
 import { STATUS_MAX_AGE_MS } from './state-service-doubt.js';
 import { UncertainAnswers } from './uncertain-answers.js';
 import { UserRequests } from './user-requests.js';
-import type { WorkerFigures } from './workers.js';
+import type { WorkerStatistics } from './workers.js';
 
 const WATCHDOG_MS = 700;
 const HAND_OVER_CHECK_MS = 250;
@@ -22,9 +22,9 @@
 /** Added to the lock's time: longer than a dead leader's lock lasts. */
 const APART_AFTER_MS = 700;
 
-export type Hello =
-  | { answer: 'stay'; term: Term; fence: Fence; orders: Command[] }
-  | { answer: 'elsewhere'; leader: string | null };
+export type ReportOutcome =
+  | { kind: 'commands'; term: Term; fence: Fence; commands: Command[] }
+  | { kind: 'redirect'; leader: string | null };
 
 /** One node: follows the log, contends for the lock, leads while it holds it. */
 export class Controller {
@@ -208,14 +208,14 @@
   }
 
   /** The number of the next record, as far as this node knows. */
-  get position(): number {
+  get nextRecord(): number {
     return this.follower.state.nextRecord;
   }
 
   /** Figures of the calls to workers, while this node leads; empty otherwise. */
-  leaderFigures(): Partial<WorkerFigures> & { renewals?: RenewalStatistics } {
+  leaderStatistics(): Partial<WorkerStatistics> & { renewals?: RenewalStatistics } {
     const renewals = this.lock.renewalStatistics();
-    return { ...this.leading?.workers.figures(), ...(renewals ? { renewals } : {}) };
+    return { ...this.leading?.workers.statistics(), ...(renewals ? { renewals } : {}) };
   }
 
   /** What this node would fold now. */
@@ -247,7 +247,7 @@
   }
 
   /** What a peer says of itself; asked: when the question was put that it answers. */
-  peerStatus(s: PeerStatus, asked?: SteadyMs): void {
+  handlePeerStatus(s: PeerStatus, asked?: SteadyMs): void {
     this.higher(s.term as Term);
     // The state service may be out of reach when workers have to be told whom to go to.
     if (s.leader && s.leaderTerm > this.ledTerm) {
@@ -262,7 +262,7 @@
   }
 
   /** Whether this node can take requests. Slow to say no: each removal costs a longer pause. */
-  ready(): boolean {
+  isReady(): boolean {
     if (!this.follower.loaded) return false;
     const now = this.ports.clock.steady();
     // A leader without state service and peers can do nothing for users; with peers it is an outage for all.
@@ -273,18 +273,18 @@
     return this.sight.isLeaderHeard(LEADERLESS_READY_MS);
   }
 
-  hello(r: WorkerReport, reply: (h: Hello) => void): void {
+  handleReport(r: WorkerReport, reply: (h: ReportOutcome) => void): void {
     const l = this.leading;
     if (!l) {
       this.sight.noteWorkerRequest(r.machine);
-      return reply({ answer: 'elsewhere', leader: this.otherLeader() });
+      return reply({ kind: 'redirect', leader: this.otherLeader() });
     }
     l.workers.tell({
       kind: 'report',
       report: r,
       reply: (a) =>
         reply(
-          a ? { answer: 'stay', term: l.term, ...a } : { answer: 'elsewhere', leader: this.otherLeader() },
+          a ? { kind: 'commands', term: l.term, ...a } : { kind: 'redirect', leader: this.otherLeader() },
         ),
     });
   }
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -19,7 +19,7 @@
 import type { HeldLock, Lock } from './lock.js';
 import { LogActor } from './log.js';
 import { LeaderStatusLog } from './pulse.js';
-import { Rounds, type RoundResult } from './round.js';
+import { RoundPlanner, type RoundPlan } from './round.js';
 import type { Compress, VersionedSnapshotHead } from './snapshot.js';
 import { Snapshotter } from './snapshotter.js';
 import { WorkersActor } from './workers.js';
@@ -82,7 +82,7 @@
   private readonly state: ClusterState;
   private readonly lock: Lock;
   private readonly clock: Clock;
-  private readonly rounds: Rounds;
+  private readonly rounds: RoundPlanner;
   private readonly pulse: LeaderStatusLog;
   private readonly snapshotter: Snapshotter;
   private readonly acknowledgements: Acknowledgements;
@@ -122,7 +122,7 @@
     });
     this.snapshotter = this.openSnapshotter(options, isCertain);
     this.acknowledgements = new Acknowledgements((live) => workers.progress.wasReported(live));
-    this.rounds = new Rounds({
+    this.rounds = new RoundPlanner({
       ...{ ...ports, state, workers, cloud: this.cloud },
       nextRentalName: () => `h-${this.term}-${++this.rentals}`,
       isOverdue: (live) => this.isOverdue(live),
@@ -148,7 +148,7 @@
     return new WorkersActor({
       ...{ state: this.state, log: this.log, call, clock, logger, term: this.term, isCertain },
       reportPeriodS: workers.report_s,
-      mostCalls: Math.max(LEAST_CALLS, Math.floor(limits.sockets * CALLS_OF_SOCKETS)),
+      maxOpenCalls: Math.max(LEAST_CALLS, Math.floor(limits.sockets * CALLS_OF_SOCKETS)),
       mayAnswerUncertain: options.mayAnswerUncertain,
       onFactWritten: () => this.planRound(),
       onHigherTerm: options.onHigherTerm,
@@ -159,8 +159,8 @@
     const { clock, settings } = this.ports;
     return new AdmissionActor({
       ...{ state: this.state, log: this.log, clock, isCertain, teams: teamsOf(settings) },
-      valueKb: settings.cluster.state.value_kb,
-      running: (job) => this.workers.running(job),
+      maxValueKb: settings.cluster.state.value_kb,
+      countRunningTasks: (job) => this.workers.countRunningTasks(job),
       onCancelling: (job, isUnderWay) => this.workers.tell({ kind: 'cancelling', job, isUnderWay }),
     });
   }
@@ -183,7 +183,7 @@
     this.cancelTick = this.clock.after(ROUND_MS, () => this.tick());
     this.workers.tell({ kind: 'tick' });
     if (!this.lock.isCertain()) this.returnOverdue();
-    this.cloud.tell({ t: 'tick' });
+    this.cloud.tell({ kind: 'tick' });
     const apart = this.workers.isBehind() ? ROUNDS_APART_BEHIND : ROUNDS_APART;
     if (this.clock.steady() - this.roundAt >= this.roundMs * apart) this.tell({ kind: 'round' });
   }
@@ -192,7 +192,7 @@
   private returnOverdue(): void {
     const all = [...this.state.machines.values()];
     const machines = all.filter((machine) => [...machine.live].some((live) => this.isOverdue(live)));
-    this.cloud.tell({ t: 'fence', machines });
+    this.cloud.tell({ kind: 'returnWithoutRecord', machines });
   }
 
   /**
@@ -227,7 +227,7 @@
     const machines = new Set<MachineId>(lives.map((live) => live.machine.id));
     if (machines.size > 0) this.workers.tell({ kind: 'commandsDue', machines });
     const has = (...kinds: LogEntry['e'][]): boolean => record.entries.some(({ e }) => kinds.includes(e));
-    if (has('hire', 'drop')) this.cloud.tell({ t: 'tick' });
+    if (has('hire', 'drop')) this.cloud.tell({ kind: 'tick' });
     if (has('job', 'up', 'gone')) this.planRound();
   }
 
@@ -251,17 +251,17 @@
 
   private round(): void {
     const from = this.clock.steady();
-    const result = this.rounds.decide(this.clock.wall());
+    const result = this.rounds.plan(this.clock.wall());
     this.write(result);
     this.roundAt = this.clock.steady();
     this.roundMs = this.roundAt - from;
     this.ports.measure('round', this.roundMs);
     this.pulse.noteStep('round', this.roundMs);
-    this.pulse.logIfDue(result.usable, result.stillUnplaced);
+    this.pulse.logIfDue(result.usable, result.unplacedAfterPreemption);
     this.snapshotter.compactIfDue();
   }
 
-  private write({ entries, starts, unplaced, usable }: RoundResult): void {
+  private write({ entries, starts, unplaced, usable }: RoundPlan): void {
     const upto = this.acknowledgements.processedUpTo(this.state.nextRecord);
     if (entries.length === 0) return;
     const all: LogEntry[] = upto > this.state.processedUpTo ? [{ e: 'mark', upto }, ...entries] : entries;
--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -105,7 +105,7 @@
 
   /** Takes so many writes for folding, if enough are left for a burst of records. */
   takeSpareWrites(n: number): boolean {
-    const { left, burst } = this.bucket;
+    const { available: left, burst } = this.bucket;
     if (left < Math.min(burst, n + burst / 2)) return false;
     this.bucket.take(n);
     return true;
@@ -165,7 +165,7 @@
     this.cancelWait = null;
     if (this.urgent.length + this.queue.length === 0) return;
     const wait = Math.max(
-      this.bucket.wait,
+      this.bucket.waitMs,
       this.urgent.length > 0 ? 0 : this.lastStart + GATHER_MS - this.clock.steady(),
     );
     if (wait > 0) this.cancelWait = this.clock.after(Math.ceil(wait), () => this.pump());
@@ -175,7 +175,7 @@
   /** Takes what waits, as far as one transaction and the write rate hold it; urgent entries first. */
   private takeBatches(): Batch[] {
     const valueBytes = this.limits.value_kb * 1024;
-    const rateAllows = Math.max(1, Math.floor(this.bucket.left));
+    const rateAllows = Math.max(1, Math.floor(this.bucket.available));
     const mostRecords = Math.min(rateAllows, this.limits.txn_ops, Math.floor(TXN_BYTES / valueBytes));
     const all = [...this.urgent, ...this.queue];
     const at = this.clock.wall();
--- a/src/actors/pulse.ts
+++ b/src/actors/pulse.ts
@@ -52,7 +52,7 @@
         worstMs: this.longest,
         writeMs: Math.round(writes.ms / Math.max(1, writes.count)),
         ends: this.ends,
-        calls: workers.figures(),
+        calls: workers.statistics(),
       },
       'pulse',
     );
@@ -71,7 +71,7 @@
       else if (machine.live.size === 0) figures.idle++;
       for (const live of machine.live) {
         figures.held += live.job.spec.cpus;
-        if (workers.progress.startedAt(live) !== null) figures.running += live.job.spec.cpus;
+        if (workers.progress.runningSince(live) !== null) figures.running += live.job.spec.cpus;
       }
     }
     return figures;
--- a/src/actors/round.ts
+++ b/src/actors/round.ts
@@ -32,7 +32,7 @@
 /** From so many machines on, more than half of them quiet means that the way to them may be cut. */
 const QUIET_LEAST_MACHINES = 3;
 
-export interface RoundOptions {
+export interface RoundPlannerOptions {
   state: ClusterState;
   workers: WorkersActor;
   cloud: CloudActor;
@@ -45,19 +45,19 @@
   isOverdue: (live: TaskAttempt) => boolean;
 }
 
-export interface RoundResult {
+export interface RoundPlan {
   entries: LogEntry[];
   starts: number;
   usable: number;
   /** What found no room on any machine. */
   unplaced: PlacementResult['unplaced'];
   /** What found none even where tasks are being stopped. */
-  stillUnplaced: PlacementResult['unplaced'];
+  unplacedAfterPreemption: PlacementResult['unplaced'];
 }
 
 const neverStarted = (job: Job): boolean => job.fresh === 0 && job.live.size === 0 && job.gangTry === 1;
 
-export class Rounds {
+export class RoundPlanner {
   private readonly teams: readonly Team[];
   /** Seconds within which jobs of a class are to be finished. */
   private readonly finishWithin = new Map<string, number>();
@@ -66,7 +66,7 @@
   /** Machines that wait for a gang since the last round. */
   private reserved: ReadonlySet<Machine> = new Set();
 
-  constructor(private readonly options: RoundOptions) {
+  constructor(private readonly options: RoundPlannerOptions) {
     this.teams = teamsOf(options.settings);
     for (const { kind, class: name, within_s: within } of options.settings.cluster.objectives) {
       if (!name || !within) continue;
@@ -76,7 +76,7 @@
     }
   }
 
-  decide(now: WallMs): RoundResult {
+  plan(now: WallMs): RoundPlan {
     const { state, workers } = this.options;
     const usable = [...state.machines.values()].filter((machine) => workers.intake.canTakeWork(machine));
     const stops = stopsForNotices(state, (machine) => workers.intake.noticeOf(machine) !== null);
@@ -105,7 +105,7 @@
       starts: placed.starts,
       usable: usable.length,
       unplaced: placed.unplaced,
-      stillUnplaced: preempted.unplaced,
+      unplacedAfterPreemption: preempted.unplaced,
     };
   }
 
@@ -120,7 +120,7 @@
 
   /** Seconds since a task was first shown running; null before that. */
   private secondsRun(live: TaskAttempt): number | null {
-    const startedAt = this.options.workers.progress.startedAt(live);
+    const startedAt = this.options.workers.progress.runningSince(live);
     return startedAt === null ? null : (this.options.clock.steady() - startedAt) / 1000;
   }
 
--- a/src/actors/task-progress.ts
+++ b/src/actors/task-progress.ts
@@ -7,7 +7,7 @@
 export class TaskProgress {
   private readonly reported = new WeakMap<TaskAttempt, TaskState>();
   /** When a task was first shown running, while it is. */
-  private readonly runningSince = new WeakMap<TaskAttempt, SteadyMs>();
+  private readonly runningSinceByAttempt = new WeakMap<TaskAttempt, SteadyMs>();
 
   constructor(
     private readonly state: ClusterState,
@@ -20,20 +20,21 @@
       const live = this.state.jobs.get(task.job)?.live.get(task.task);
       if (!live || live.attempt !== task.attempt || live.machine.id !== report.machine) continue;
       this.reported.set(live, task.state);
-      if (task.state !== 'running' && task.state !== 'saving') this.runningSince.delete(live);
-      else if (!this.runningSince.has(live)) this.runningSince.set(live, this.clock.steady());
+      if (task.state !== 'running' && task.state !== 'saving') this.runningSinceByAttempt.delete(live);
+      else if (!this.runningSinceByAttempt.has(live))
+        this.runningSinceByAttempt.set(live, this.clock.steady());
     }
   }
 
   /** When a task was first shown running; null while it is not. */
-  startedAt(live: TaskAttempt): SteadyMs | null {
-    return this.runningSince.get(live) ?? null;
+  runningSince(live: TaskAttempt): SteadyMs | null {
+    return this.runningSinceByAttempt.get(live) ?? null;
   }
 
   /** How many tasks of a job run. */
   running(job: Job): number {
     let count = 0;
-    for (const live of job.live.values()) if (this.runningSince.has(live)) count++;
+    for (const live of job.live.values()) if (this.runningSinceByAttempt.has(live)) count++;
     return count;
   }
 
--- a/src/actors/token-bucket.ts
+++ b/src/actors/token-bucket.ts
@@ -17,7 +17,7 @@
   }
 
   /** Tokens that may be taken now; below zero after more were taken than there were. */
-  get left(): number {
+  get available(): number {
     const now = this.clock.steady();
     const refill = ((now - this.refilledAt) / 1000) * this.perSecond;
     this.tokens = Math.min(this.burst, this.tokens + refill);
@@ -26,11 +26,11 @@
   }
 
   take(count: number): void {
-    this.tokens = this.left - count;
+    this.tokens = this.available - count;
   }
 
   /** Milliseconds until a token is there; zero or less when there is one. */
-  get wait(): number {
-    return ((1 - this.left) / this.perSecond) * 1000;
+  get waitMs(): number {
+    return ((1 - this.available) / this.perSecond) * 1000;
   }
 }
--- a/src/actors/user-requests.ts
+++ b/src/actors/user-requests.ts
@@ -7,10 +7,10 @@
 import type { PeerAnswer, PeerAsk, Peers } from '../io/peers.js';
 import {
   finalAnswer,
-  later,
-  noSuchJob,
+  retryLater,
+  jobNotFound,
   SETTLE_MS,
-  standing,
+  jobStatusReply,
   type Reply,
   type UserRequest,
 } from './admission.js';
@@ -66,7 +66,7 @@
     const fromLog = await this.readFromLog(ask);
     if (fromLog) return fromLog;
     if (answer) return replyOf(answer, answer.retryAfter || 1);
-    return later(this.options.otherLeader() ? 'the leader does not answer' : 'no leader known');
+    return retryLater(this.options.otherLeader() ? 'the leader does not answer' : 'no leader known');
   }
 
   /** A peer passes on what its user asked. */
@@ -74,7 +74,7 @@
     if (ask.kind === 'position') return this.answerPosition();
     const spec = ask.spec ? (JSON.parse(ask.spec) as JobSpec) : undefined;
     const reply =
-      (await this.askHere({ kind: ask.kind, job: ask.job as JobId, spec })) ?? later('not leading');
+      (await this.askHere({ kind: ask.kind, job: ask.job as JobId, spec })) ?? retryLater('not leading');
     return { status: reply.status, body: JSON.stringify(reply.body), retryAfter: reply.retryAfter ?? 0 };
   }
 
@@ -113,7 +113,7 @@
     const { follower } = this.options;
     const next = await this.positions.get();
     if (next === null || !(await follower.waitForRecord(next, REACH_MS))) return null;
-    return standing(follower.state, job, (known) => known.live.size) ?? noSuchJob;
+    return jobStatusReply(follower.state, job, (known) => known.live.size) ?? jobNotFound;
   }
 
   private async leaderPosition(): Promise<number | null> {
@@ -129,7 +129,7 @@
     const { follower } = this.options;
     const isKnown = kind === 'submit' && follower.state.jobs.has(job);
     if ((kind !== 'show' && !isKnown) || !(await follower.readLatest())) return null;
-    return standing(follower.state, job, (known) => known.live.size) ?? (isKnown ? null : noSuchJob);
+    return jobStatusReply(follower.state, job, (known) => known.live.size) ?? (isKnown ? null : jobNotFound);
   }
 }
 
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -23,14 +23,14 @@
 import type { WorkerView } from './worker-view.js';
 
 /** What a report is answered with: commands, and the fence that they go under. */
-export interface ReportAnswer {
+export interface FencedCommands {
   fence: Fence;
-  orders: Command[];
+  commands: Command[];
 }
 
 export type WorkerMessage =
   /** `reply` gets null when this node may not answer: the worker is to go elsewhere. */
-  | { kind: 'report'; report: WorkerReport; reply: (answer: ReportAnswer | null) => void }
+  | { kind: 'report'; report: WorkerReport; reply: (answer: FencedCommands | null) => void }
   /** A record was written: its commands may leave. */
   | { kind: 'commandsDue'; machines: Iterable<MachineId> }
   /** A cancellation is on its way into a record (or no more): no start of the job leaves meanwhile. */
@@ -47,7 +47,7 @@
   /** Seconds between two reports of a worker, as the settings have it. */
   reportPeriodS: number;
   /** Direct calls open at once. */
-  mostCalls: number;
+  maxOpenCalls: number;
   /** Whether the lock is certain to be held. */
   isCertain: () => boolean;
   /** Whether reports may be answered without a certain lock. */
@@ -59,7 +59,7 @@
 }
 
 /** Figures for operators, counted since this node began to lead. */
-export interface WorkerFigures {
+export interface WorkerStatistics {
   directCalls: { sent: number; answered: number; givenUp: number; open: number };
   /** Calls with starts that may still be carried out: open ones, and given up ones that are not yet void. */
   unsettledCalls: number;
@@ -104,7 +104,7 @@
     this.firstReports = new FirstReports(state, this.intake.views, pace, clock, options.reportPeriodS);
     this.introductions = new Introductions(clock);
     this.calls = new DirectCalls({
-      ...{ call: options.call, clock, logger, term, mostOpen: options.mostCalls },
+      ...{ call: options.call, clock, logger, term, mostOpen: options.maxOpenCalls },
       onFree: (machine) => this.callWithCommands(machine),
     });
   }
@@ -120,7 +120,7 @@
   }
 
   /** How many tasks of a job run. */
-  running(job: Job): number {
+  countRunningTasks(job: Job): number {
     return this.progress.running(job);
   }
 
@@ -129,7 +129,7 @@
     return this.pace.isBehind();
   }
 
-  figures(): WorkerFigures {
+  statistics(): WorkerStatistics {
     return {
       directCalls: { ...this.calls.totals, open: this.calls.openNow },
       unsettledCalls: this.intake.countUnsettledCalls(),
@@ -151,12 +151,12 @@
     this.calls.stop();
   }
 
-  private answerReport(report: WorkerReport): ReportAnswer | null {
+  private answerReport(report: WorkerReport): FencedCommands | null {
     const isCertain = this.options.isCertain();
     const quiet = isCertain ? this.intake.unchanged(report) : null;
     if (quiet) {
       this.intake.repeated(quiet, report);
-      return { fence: quiet.fence, orders: [] };
+      return { fence: quiet.fence, commands: [] };
     }
     const view = this.intake.take(report, true);
     if (!view) return null;
@@ -166,14 +166,14 @@
     if (!isCertain || view.report !== report)
       return {
         fence: view.fence,
-        orders: machine ? stopsForCancelledJobs(this.state, machine, view.report) : [],
+        commands: machine ? stopsForCancelledJobs(this.state, machine, view.report) : [],
       };
     const orders = this.commandsFor(view);
     this.calls.waitNoMore(report.machine);
     for (const key of startsOf(orders)) view.startedInAnswer.set(key, report.seq);
     view.quietAt = machine && this.callsForNothing(view, orders) ? machine.changes : null;
     if (orders.length > 0) this.logAnswer(view, orders);
-    return { fence: view.fence, orders };
+    return { fence: view.fence, commands: orders };
   }
 
   /** Whether a worker's next report needs no look as long as it repeats the last and nothing changes. */
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -68,14 +68,17 @@
     hostPort(settings.back),
     settings.seeds.map((p) => ({ node: p.node as NodeId, ...hostPort(p.peer_addr) })),
     () => controller.status(),
-    { ask: (a) => controller.requests.answerPeer(a), status: (s, asked) => controller.peerStatus(s, asked) },
+    {
+      ask: (a) => controller.requests.answerPeer(a),
+      status: (s, asked) => controller.handlePeerStatus(s, asked),
+    },
     logger,
   );
   const http = server(
     controller,
     () => ({
       ...controller.status(),
-      ...controller.leaderFigures(),
+      ...controller.leaderStatistics(),
       ...metrics.show(),
       process: processFigures(),
     }),
--- a/src/cli/warm.ts
+++ b/src/cli/warm.ts
@@ -69,9 +69,9 @@
     });
     const report = this.reader.read(text);
     if (!report) throw new Error('a report that is none');
-    controller.hello(report, (answer) => {
-      if (answer.answer !== 'stay') return;
-      const { warrant, orders } = JSON.parse(writeOrdersText(answer.term, answer.fence, answer.orders)) as {
+    controller.handleReport(report, (answer) => {
+      if (answer.kind !== 'commands') return;
+      const { warrant, orders } = JSON.parse(writeOrdersText(answer.term, answer.fence, answer.commands)) as {
         warrant: number;
         orders: Order[];
       };
@@ -99,7 +99,7 @@
     if ('error' in read) throw new Error(read.error);
     void controller.requests.answer({ kind: 'submit', job: read.spec.id, spec: read.spec });
     void controller.requests.answer({ kind: 'show', job: read.spec.id });
-    controller.ready();
+    controller.isReady();
     controller.status();
     for (const worker of workers) worker.report(controller);
   }
--- a/src/io/server.ts
+++ b/src/io/server.ts
@@ -2,7 +2,7 @@
 import http from 'node:http';
 import net from 'node:net';
 import type { Controller } from '../actors/controller.js';
-import { noSuchJob, type Reply } from '../actors/admission.js';
+import { jobNotFound, type Reply } from '../actors/admission.js';
 import type { Measure } from './metrics.js';
 import type { Logger } from './logger.js';
 import type { JobId } from '../core/types.js';
@@ -31,10 +31,10 @@
   return (text, reply) => {
     const report = text === null ? null : reader.read(text);
     if (!report) return reply(MALFORMED_REPORT);
-    controller.hello(report, (h) =>
+    controller.handleReport(report, (h) =>
       reply(
-        h.answer === 'stay'
-          ? { status: 200, body: writeOrdersText(h.term, h.fence, h.orders) }
+        h.kind === 'commands'
+          ? { status: 200, body: writeOrdersText(h.term, h.fence, h.commands) }
           : { status: 421, body: JSON.stringify(writeElsewhere(h.leader)) },
       ),
     );
@@ -61,7 +61,7 @@
 
 /** A user's question, on Node's own server: users ask many times as often as they submit. */
 function show(c: Controller, id: string, res: http.ServerResponse, measure: Measure): void {
-  if (!jobIdForm.test(id)) return send(res, noSuchJob);
+  if (!jobIdForm.test(id)) return send(res, jobNotFound);
   const from = performance.now();
   void c.requests.answer({ kind: 'show', job: id as JobId }).then((r) => {
     measure('question', performance.now() - from);
@@ -102,7 +102,7 @@
   });
   app.post('/v1/jobs/:id/withdraw', (req, res) => {
     const id = req.params.id;
-    if (!jobIdForm.test(id)) return send(res, noSuchJob);
+    if (!jobIdForm.test(id)) return send(res, jobNotFound);
     void c.requests.answer({ kind: 'withdraw', job: id as JobId }).then((r) => {
       logger.debug({ job: id, status: r.status, why: r.body }, 'cancellation');
       send(res, r);
@@ -117,7 +117,7 @@
 
   const requests = http.createServer({ keepAliveTimeout: 120_000, noDelay: true }, (req, res) => {
     if (req.url === '/hello' && req.method === 'POST') hello(c, req, res);
-    else if (req.url === '/ready' && req.method === 'GET') json(res, c.ready() ? 200 : 503, {});
+    else if (req.url === '/ready' && req.method === 'GET') json(res, c.isReady() ? 200 : 503, {});
     else if (req.method === 'GET' && req.url?.startsWith(JOBS))
       show(c, req.url.slice(JOBS.length), res, measure);
     else app(req, res);
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -116,7 +116,7 @@
     expect(w.leader()).not.toBe(was);
     expect(w.leader()).toBeGreaterThanOrEqual(0);
     await w.time.run(13_000);
-    expect(w.nodes[was]!.controller.ready()).toBe(true);
+    expect(w.nodes[was]!.controller.isReady()).toBe(true);
     expect([...w.workers.values()].map((x) => x.session)).toEqual(sessions);
     await expectAllOver(w, 200);
   });
@@ -149,7 +149,7 @@
     for (const n of [0, 1, 2]) w.network.cut(`n${n}:81`, '*', 40_000);
     await w.time.run(5500);
     for (const n of [0, 1, 2]) {
-      expect(w.nodes[n]!.controller.ready()).toBe(n === was);
+      expect(w.nodes[n]!.controller.isReady()).toBe(n === was);
       expect((await resolved(w, w.ask('show', j.name_id, undefined, n))).status).toBe(200);
       expect((await resolved(w, w.ask('submit', j.name_id, j, n))).status).toBe(200);
       expect((await resolved(w, w.ask('show', 'wk-999999', undefined, n))).status).toBe(404);
@@ -165,7 +165,7 @@
     w.user(other);
     await w.time.run(38_000);
     expect(w.leader()).toBe(was);
-    for (const n of [0, 1, 2]) expect(w.nodes[n]!.controller.ready()).toBe(true);
+    for (const n of [0, 1, 2]) expect(w.nodes[n]!.controller.isReady()).toBe(true);
     await expectAllOver(w, 200);
   });
 });
@@ -227,7 +227,7 @@
     w.user(w.job({ shifts: 4, reckon_s: 60 }));
     await w.time.run(8000);
     const [mine, theirs] = [former, w.leader()].map((n) => w.nodes[n]!.controller);
-    expect(mine!.position).toBe(theirs!.position);
+    expect(mine!.nextRecord).toBe(theirs!.nextRecord);
     expect(mine!.dump()).toEqual(theirs!.dump());
     expect(lists.filter((path) => path.includes('under=q%2F&'))).toEqual([]);
     expect(lists.length).toBeGreaterThan(0);
--- a/test/fakes/leading.ts
+++ b/test/fakes/leading.ts
@@ -26,7 +26,7 @@
     clock: new NodeClock(of.time, 1, 0),
     term: (of.term ?? 1) as Term,
     reportPeriodS: REPORT_PERIOD_S,
-    mostCalls: of.mostCalls ?? 150,
+    maxOpenCalls: of.mostCalls ?? 150,
     isCertain: () => true,
     mayAnswerUncertain: () => true,
     onFactWritten: () => {},
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -1,5 +1,5 @@
 import type { AppendRequest } from '../../src/actors/log.js';
-import type { WorkerFigures, WorkersActor } from '../../src/actors/workers.js';
+import type { WorkerStatistics, WorkersActor } from '../../src/actors/workers.js';
 import { ClusterState } from '../../src/core/state.js';
 import { waitingTasks } from '../../src/core/waiting-tasks.js';
 import type { LogEntry, JobId, MachineId, Term } from '../../src/core/types.js';
@@ -199,8 +199,8 @@
     this.worker.hang(ms);
   }
 
-  figures(): WorkerFigures {
-    return this.leader.figures();
+  figures(): WorkerStatistics {
+    return this.leader.statistics();
   }
 
   private lead(): WorkersActor {
@@ -263,7 +263,7 @@
       reply: (answer) =>
         resolve(
           answer
-            ? { status: 200, body: writeOrders(term, answer.fence, answer.orders) }
+            ? { status: 200, body: writeOrders(term, answer.fence, answer.commands) }
             : { status: 421, body: writeElsewhere(null) },
         ),
     });
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -188,10 +188,10 @@
       readers.set(machine, reader);
       const r = reader.read(JSON.stringify(body))!;
       return new Promise((ok) =>
-        controller.hello(r, (h) =>
+        controller.handleReport(r, (h) =>
           ok(
-            h.answer === 'stay'
-              ? { status: 200, body: writeOrders(h.term, h.fence, h.orders) }
+            h.kind === 'commands'
+              ? { status: 200, body: writeOrders(h.term, h.fence, h.commands) }
               : { status: 421, body: writeElsewhere(h.leader) },
           ),
         ),
@@ -199,7 +199,7 @@
     });
     this.network.listen(`${name}:81`, (_m, path, body) => {
       if (path === '/status') {
-        controller.peerStatus(body as PeerStatus);
+        controller.handlePeerStatus(body as PeerStatus);
         return { status: 200, body: controller.status() };
       }
       return controller.requests.answerPeer(body as PeerAsk).then((a) => ({ status: 200, body: a }));
@@ -223,7 +223,7 @@
           if (!a) return;
           const s = a.body as PeerStatus;
           known.set(s.node, { status: s, at: this.time.now });
-          controller.peerStatus(s, asked);
+          controller.handlePeerStatus(s, asked);
         });
       }
     };
--- a/test/state-service.test.ts
+++ b/test/state-service.test.ts
@@ -11,7 +11,7 @@
     await expectAllOver(w, 200);
     expect(w.state.kv.has('q/head')).toBe(true);
     const lead = w.nodes[w.leader()]!.controller;
-    const behind = w.nodes.map((n) => lead.position - n.controller.position);
+    const behind = w.nodes.map((n) => lead.nextRecord - n.controller.nextRecord);
     for (const b of behind) expect(Math.abs(b)).toBeLessThan(5);
   });
 });
--- a/test/stored-data.test.ts
+++ b/test/stored-data.test.ts
@@ -76,7 +76,7 @@
         ...['stateAge', 'reachesState', 'inDoubt', 'gaveWay'],
       ].sort(),
     );
-    expect(paths(controller.leaderFigures()).sort()).toEqual(
+    expect(paths(controller.leaderStatistics()).sort()).toEqual(
       [
         ...['directCalls.sent', 'directCalls.answered', 'directCalls.givenUp', 'directCalls.open'],
         ...['unsettledCalls', 'fencesRaised', 'renewals.sent', 'renewals.timely', 'renewals.late'],
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -2,7 +2,7 @@
 import { afterEach, describe, expect, it } from 'vitest';
 import type { Controller } from '../src/actors/controller.js';
 import type { UserRequests } from '../src/actors/user-requests.js';
-import { later } from '../src/actors/admission.js';
+import { retryLater } from '../src/actors/admission.js';
 import { realClock } from '../src/io/clock.js';
 import { PeerLinks, type PeerAsk, type PeerStatus } from '../src/io/peers.js';
 import { server } from '../src/io/server.js';
@@ -16,7 +16,7 @@
 
 describe('the HTTP interface, over loopback', () => {
   const open = async (answer: UserRequests['answer']): Promise<string> => {
-    const c = { requests: { answer }, ready: () => true } as unknown as Controller;
+    const c = { requests: { answer }, isReady: () => true } as unknown as Controller;
     const s = server(
       c,
       () => ({}),
@@ -73,7 +73,7 @@
   });
 
   it('says when to come back, and lets the balancer choose anew', async () => {
-    const at = await open(() => Promise.resolve(later('not now', 2)));
+    const at = await open(() => Promise.resolve(retryLater('not now', 2)));
     const r = await post(`${at}/v1/jobs`, JSON.stringify(job));
     expect(r.status).toBe(503);
     expect(r.headers.get('retry-after')).toBe('2');
--- a/test/workers.test.ts
+++ b/test/workers.test.ts
@@ -95,8 +95,8 @@
     workers.tell({ kind: 'commandsDue', machines: [first, second] });
     expect([...calls.reached.keys()]).toEqual([`${second}:1`]);
     const started: string[] = [];
-    const reply = (a: { orders: { op: string }[] } | null): void =>
-      void started.push(...a!.orders.map((o) => o.op));
+    const reply = (a: { commands: { op: string }[] } | null): void =>
+      void started.push(...a!.commands.map((o) => o.op));
     workers.tell({ kind: 'report', report: report(first, 2), reply });
     expect(started).toEqual(['start']);
     for (let second = 0; second < 3; second++) {
@@ -121,7 +121,8 @@
     /** The commands that answer the next report, which shares its tasks with the one before. */
     const answerTo = (seq: number): string[] => {
       let ops: string[] = [];
-      const reply = (a: { orders: { op: string }[] } | null): void => void (ops = a!.orders.map((o) => o.op));
+      const reply = (a: { commands: { op: string }[] } | null): void =>
+        void (ops = a!.commands.map((o) => o.op));
       workers.tell({ kind: 'report', report: { ...first, seq } as never, reply });
       return ops;
     };
--- a/tools/profile/parts.ts
+++ b/tools/profile/parts.ts
@@ -35,7 +35,7 @@
   renew: 'lock renewal',
   callWorker: 'direct commands',
   direct: 'direct commands',
-  hello: 'worker reports',
+  handleReport: 'worker reports',
   readReport: 'worker reports',
   show: 'status queries',
   page: 'cloud',
