--- a/src/actors/admission.ts
+++ b/src/actors/admission.ts
@@ -4,7 +4,7 @@
 import type { ClusterState } from '../core/state.js';
 import type { LogEntry, JobId, JobSpec, Team } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import { writeStanding, type Standing } from '../wire/schemas.js';
+import { writeJobStatus, type JobStatus } from '../wire/schemas.js';
 import { Actor } from './actor.js';
 import type { LogActor } from './log.js';
 
@@ -29,7 +29,7 @@
 /** What the log says of a finished job is final, so any node may say it at any time. */
 export function finalAnswer(state: ClusterState, id: JobId): Reply | null {
   const f = state.outcomes.get(id);
-  return f ? { status: 200, body: writeStanding(id, f.state, { done: f.done, running: 0 }) } : null;
+  return f ? { status: 200, body: writeJobStatus(id, f.state, { done: f.done, running: 0 }) } : null;
 }
 
 /** What the log says of a job; null when it knows no such job. */
@@ -43,8 +43,8 @@
   const job = state.jobs.get(id);
   if (!job) return null;
   const running = runningOf(job);
-  const s: Standing = running > 0 ? 'running' : 'queued';
-  return { status: 200, body: writeStanding(id, s, { done: job.done, running }) };
+  const s: JobStatus = running > 0 ? 'running' : 'queued';
+  return { status: 200, body: writeJobStatus(id, s, { done: job.done, running }) };
 }
 
 export const jobNotFound: Reply = { status: 404, body: { error: 'no such job' } };
--- a/src/actors/cloud.ts
+++ b/src/actors/cloud.ts
@@ -4,8 +4,8 @@
 import type { MachineId, MachineType, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
-import type { Cloud } from '../wire/cloud.js';
-import type { Listed } from '../wire/schemas.js';
+import type { CloudClient } from '../wire/cloud.js';
+import type { ListedMachine } from '../wire/schemas.js';
 import { Actor } from './actor.js';
 import { TokenBucket } from './token-bucket.js';
 import type { LogActor } from './log.js';
@@ -32,7 +32,7 @@
 
   constructor(
     private readonly state: ClusterState,
-    private readonly cloud: Cloud,
+    private readonly cloud: CloudClient,
     private readonly log: LogActor,
     private readonly clock: Clock,
     private readonly limits: { rps: number; list_lag_s: number },
@@ -73,7 +73,7 @@
 
   private async readTypes(): Promise<void> {
     this.typing = true;
-    const types = await this.cloud.types();
+    const types = await this.cloud.listMachineTypes();
     this.typing = false;
     if (this.stopped) return;
     if (!types) return this.trouble();
@@ -91,14 +91,14 @@
     for (const h of this.state.pendingRentals.values()) {
       if (this.renting.has(h.name) || !this.spend()) continue;
       this.renting.add(h.name);
-      void this.cloud.hire(h).then((r) => {
+      void this.cloud.rentMachines(h).then((r) => {
         if (this.stopped) return;
         // Without an answer the same request is repeated under the same name.
-        if (r.r === 'trouble') {
+        if (r.outcome === 'trouble') {
           this.renting.delete(h.name);
           return this.trouble();
         }
-        const machines = r.r === 'hired' ? r.machines : [];
+        const machines = r.outcome === 'hired' ? r.machines : [];
         const key = place(h.type, h.zone, h.spot);
         if (machines.length < h.n) {
           const pause = Math.min(30_000, (this.dry.get(key)?.pause ?? 4000) * 1.5);
@@ -117,7 +117,7 @@
     const due = machines.flatMap((m) => (this.returning.has(m.id) ? [] : [m.id])).slice(0, 100);
     if (due.length === 0 || !this.spend()) return;
     for (const id of due) this.returning.add(id);
-    void this.cloud.giveBack(due).then((ok) => {
+    void this.cloud.returnMachines(due).then((ok) => {
       if (this.stopped) return;
       if (!ok) {
         for (const id of due) this.returning.delete(id);
@@ -138,9 +138,9 @@
   private async list(): Promise<void> {
     this.listing = true;
     this.listedAt = this.clock.steady();
-    const all: Listed[] = [];
+    const all: ListedMachine[] = [];
     for (let after: string | null = null; ;) {
-      const p = await this.cloud.page(after);
+      const p = await this.cloud.listMachines(after);
       if (this.stopped) return;
       if (!p) {
         this.listing = false;
@@ -172,7 +172,7 @@
       this.log.tell({ entries: [{ e: 'drop', m: failed.slice(0, 100), why: 'failed' }] });
     if (strays.length > 0) {
       this.logger.info({ strays }, 'returning machines that nobody asked for');
-      if (this.spend() && (await this.cloud.giveBack(strays.slice(0, 100))) && !this.stopped) {
+      if (this.spend() && (await this.cloud.returnMachines(strays.slice(0, 100))) && !this.stopped) {
         this.log.tell({ entries: [{ e: 'gone', m: strays.slice(0, 100) }] });
         for (const s of strays) this.strays.delete(s);
       }
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -3,7 +3,7 @@
 import type { Command, Fence, NodeId, SteadyMs, Term, WorkerReport } from '../core/types.js';
 import type { Peers, PeerStatus } from '../io/peers.js';
 import { sleep } from '../io/clock.js';
-import { LEADER, readLeaderValue, type LeaderValue } from '../wire/keys.js';
+import { LEADER_KEY, readLeaderValue, type LeaderValue } from '../wire/keys.js';
 import { Follower } from './follower.js';
 import { LeaderActor, type LeaderDependencies } from './leader.js';
 import { HandOver } from './hand-over.js';
@@ -107,7 +107,7 @@
     const { clock } = this.ports;
     clock.after(WATCHDOG_MS, () => this.watchdog());
     const leaderElsewhere = this.otherLeader();
-    if (!leaderElsewhere || this.peers?.linked(leaderElsewhere)) this.linkedAt = clock.steady();
+    if (!leaderElsewhere || this.peers?.isConnected(leaderElsewhere)) this.linkedAt = clock.steady();
     if (this.lock.held) return;
     this.claimReach();
     // A leader that no longer tells its peers that it leads is looked for in the state service.
@@ -132,15 +132,15 @@
   /** A lock still held by an earlier run of this node holds nobody: that run is over. */
   private async endFormerLease(): Promise<void> {
     const { store, settings } = this.ports;
-    const k = await store.get(LEADER);
+    const k = await store.get(LEADER_KEY);
     const v = k ? readLeaderValue(k.value) : null;
-    if (k && k.lease !== null && v?.node === settings.node && v.run !== this.run)
-      await store.endLease(k.lease);
+    if (k && k.leaseId !== null && v?.node === settings.node && v.run !== this.run)
+      await store.revokeLease(k.leaseId);
   }
 
   /** Peers heard lately. */
   private heard(withinMs: number): PeerStatus[] {
-    return (this.peers?.statuses() ?? []).filter((p) => p.age < withinMs).map((p) => p.status);
+    return (this.peers?.statuses() ?? []).filter((p) => p.ageMs < withinMs).map((p) => p.status);
   }
 
   private async contend(): Promise<void> {
--- a/src/actors/direct-calls.ts
+++ b/src/actors/direct-calls.ts
@@ -5,9 +5,9 @@
 import type { Command, Fence, MachineId, Session, Term } from '../core/types.js';
 import type { CallNumber } from '../core/unsettled-calls.js';
 import type { Clock } from '../io/clock.js';
-import type { HttpAnswer, HttpCall } from '../io/http-client.js';
+import type { HttpResponse, HttpCall } from '../io/http-client.js';
 import type { Logger } from '../io/logger.js';
-import { writeDirect } from '../wire/schemas.js';
+import { writeDirectCall } from '../wire/schemas.js';
 
 /** A call without an answer is given up after so long; it may still be carried out later. */
 export const DIRECT_CALL_MS = 2000;
@@ -62,13 +62,13 @@
   }
 
   /** Sends a call; `then` gets its answer, or null when it was given up. Not called after `stop`. */
-  send(call: DirectCall, then: (answer: HttpAnswer | null) => void): CallNumber {
+  send(call: DirectCall, then: (answer: HttpResponse | null) => void): CallNumber {
     const { clock, logger, term } = this.options;
     const number = ++this.totals.sent as CallNumber;
     const sentAt = clock.steady();
     this.open++;
     logger.debug({ call: number, ...call }, 'direct call sent');
-    const body = writeDirect(term, call.fence, call.session, call.commands);
+    const body = writeDirectCall(term, call.fence, call.session, call.commands);
     void this.options.call(call.address, 'POST', '/orders', body, DIRECT_CALL_MS).then((answer) => {
       if (this.stopped) return;
       this.open--;
--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -4,24 +4,24 @@
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import {
-  HEAD,
-  LEADER,
-  RECORDS,
-  ROOT,
-  TERM,
+  SNAPSHOT_HEAD_KEY,
+  LEADER_KEY,
+  RECORD_PREFIX,
+  ROOT_PREFIX,
+  TERM_KEY,
   recordKey,
-  recordOf,
-  type HeadValue,
+  recordNumberOf,
+  type SnapshotHead,
   type LeaderValue,
 } from '../wire/keys.js';
 import {
-  ANSWER_MS,
-  LIST_MS,
+  ANSWER_TIMEOUT_MS,
+  LIST_TIMEOUT_MS,
   type Change,
-  type Item,
+  type KeyValue,
   type Revision,
-  type Stamp,
-  type Store,
+  type Version,
+  type StateServiceClient,
 } from '../wire/store.js';
 import { KeyReader } from './key-values.js';
 import { SingleFlight } from './single-flight.js';
@@ -58,7 +58,7 @@
   private stopped = false;
 
   constructor(
-    private readonly store: Store,
+    private readonly store: StateServiceClient,
     private readonly clock: Clock,
     private readonly log: Logger,
     private readonly on: {
@@ -89,7 +89,7 @@
     }
     const from = this.clock.steady();
     const waitMs = this.leader === null ? FREE_WATCH_MS : WATCH_MS;
-    const news = await this.store.watch(ROOT, this.revision, waitMs);
+    const news = await this.store.watch(ROOT_PREFIX, this.revision, waitMs);
     if (this.paused || this.stopped) return;
     if (news === 'too_old') {
       this.loaded = false;
@@ -101,27 +101,24 @@
     this.log.debug({ revision: news.revision, changes: news.changes.length }, 'state service read');
     for (const change of news.changes) this.takeChange(change);
     // Bounded use of the state service, but nobody is late to an election.
-    const isLockFreed = news.changes.some(({ key, removed }) => key === LEADER && removed);
+    const isLockFreed = news.changes.some(({ key, removed }) => key === LEADER_KEY && removed);
     const spentMs = this.clock.steady() - from;
     if (!isLockFreed && spentMs < WATCHES_APART_MS) await sleep(this.clock, WATCHES_APART_MS - spentMs);
   }
 
   private takeChange(change: Change): void {
     const { key, value, removed } = change;
-    if (key === LEADER) this.setLeader(removed ? null : this.values.readLeader(value));
+    if (key === LEADER_KEY) this.setLeader(removed ? null : this.values.readLeader(value));
     else if (removed) return;
-    else if (key === TERM) this.setTerm(value);
-    else if (key === HEAD) this.setHead(change);
-    else if (key.startsWith(RECORDS)) this.take(recordOf(key), value as LogRecord);
+    else if (key === TERM_KEY) this.setTerm(value);
+    else if (key === SNAPSHOT_HEAD_KEY) this.setHead(change);
+    else if (key.startsWith(RECORD_PREFIX)) this.take(recordNumberOf(key), value as LogRecord);
   }
 
-  /**
-   * Guards against a watch that has not told of the lock's end: asks for the key itself. True when
-   * the lock is free.
-   */
+  /** Reads the leader key itself, in case the watch did not report its removal; true when the lock is free. */
   async checkLeader(): Promise<boolean> {
     if (!this.loaded || this.paused) return false;
-    const k = await this.store.get(LEADER);
+    const k = await this.store.get(LEADER_KEY);
     // Guards against giving way to a peer that is answered in time by luck: one late answer, and it is no evidence.
     if (k === undefined) this.answeredInTimeAt = -Infinity;
     if (k === undefined || this.paused) return false;
@@ -141,8 +138,8 @@
     if (term !== null) this.on.term(term);
   }
 
-  private setHead(i: { value: unknown; stamp: Stamp } | null): void {
-    this.head = i ? { ...(i.value as HeadValue), version: i.stamp } : NO_SNAPSHOT;
+  private setHead(i: { value: unknown; version: Version } | null): void {
+    this.head = i ? { ...(i.value as SnapshotHead), version: i.version } : NO_SNAPSHOT;
   }
 
   private take(no: RecordNumber, rec: LogRecord): void {
@@ -168,19 +165,19 @@
    * is in a snapshot already.
    */
   private async rejoin(): Promise<boolean | null> {
-    const records = await this.store.list(RECORDS, recordKey(this.state.nextRecord - 1));
+    const records = await this.store.list(RECORD_PREFIX, recordKey(this.state.nextRecord - 1));
     const [leader, head, term] = [
-      await this.store.get(LEADER),
-      await this.store.get(HEAD),
-      await this.store.get(TERM),
+      await this.store.get(LEADER_KEY),
+      await this.store.get(SNAPSHOT_HEAD_KEY),
+      await this.store.get(TERM_KEY),
     ];
     if (!records || leader === undefined || head === undefined || term === undefined) return false;
-    const folded = ((head?.value as HeadValue | undefined)?.upto ?? 0) >= this.state.nextRecord;
+    const folded = ((head?.value as SnapshotHead | undefined)?.upto ?? 0) >= this.state.nextRecord;
     const first = records.items[0];
-    if (folded || (first && recordOf(first.key) > this.state.nextRecord)) return null;
+    if (folded || (first && recordNumberOf(first.key) > this.state.nextRecord)) return null;
     this.ledUntilNow = false;
     this.loaded = true;
-    for (const item of records.items) this.take(recordOf(item.key), item.value as LogRecord);
+    for (const item of records.items) this.take(recordNumberOf(item.key), item.value as LogRecord);
     this.revision = records.revision;
     this.lastAnswerAt = this.clock.steady();
     this.setHead(head);
@@ -193,10 +190,10 @@
   /** Reads snapshot and records. False when that could not be done now. */
   async load(patienceMs = 0): Promise<boolean> {
     const from = this.clock.steady();
-    const all = await this.store.list(ROOT, null, Math.max(LIST_MS, patienceMs));
+    const all = await this.store.list(ROOT_PREFIX, null, Math.max(LIST_TIMEOUT_MS, patienceMs));
     if (!all) return false;
     const keys = new Map(all.items.map((i) => [i.key, i.value]));
-    const head = (keys.get(HEAD) as HeadValue | undefined) ?? { upto: 0, chunks: 0 };
+    const head = (keys.get(SNAPSHOT_HEAD_KEY) as SnapshotHead | undefined) ?? { upto: 0, chunks: 0 };
     let state = new ClusterState();
     if (head.upto > 0) {
       const folded = stateFromChunks(keys, head);
@@ -204,19 +201,19 @@
       state = folded;
     }
     for (const i of all.items) {
-      if (!i.key.startsWith(RECORDS)) continue;
-      const no = recordOf(i.key);
+      if (!i.key.startsWith(RECORD_PREFIX)) continue;
+      const no = recordNumberOf(i.key);
       if (no < state.nextRecord) continue;
       if (no > state.nextRecord) return false;
       state.apply(no, i.value as LogRecord);
     }
     this.state = state;
-    this.setHead(all.items.find((i) => i.key === HEAD) ?? null);
+    this.setHead(all.items.find((i) => i.key === SNAPSHOT_HEAD_KEY) ?? null);
     this.revision = all.revision;
     this.loaded = true;
     this.lastAnswerAt = this.clock.steady();
-    this.setTerm(keys.get(TERM));
-    this.setLeader(keys.has(LEADER) ? this.values.readLeader(keys.get(LEADER)) : null);
+    this.setTerm(keys.get(TERM_KEY));
+    this.setLeader(keys.has(LEADER_KEY) ? this.values.readLeader(keys.get(LEADER_KEY)) : null);
     this.log.info({ next: state.nextRecord, ms: Math.round(this.clock.steady() - from) }, 'state loaded');
     return true;
   }
@@ -245,22 +242,22 @@
 
   /** Reads what was written after the last record known here, and applies it if it still may be. */
   private async readOn(may: () => boolean): Promise<boolean> {
-    const records = await this.store.list(RECORDS, recordKey(this.state.nextRecord - 1));
+    const records = await this.store.list(RECORD_PREFIX, recordKey(this.state.nextRecord - 1));
     // Nothing after ours: either all is here, or it was folded meanwhile.
-    const head = records?.items.length === 0 ? await this.store.get(HEAD) : null;
+    const head = records?.items.length === 0 ? await this.store.get(SNAPSHOT_HEAD_KEY) : null;
     if (!records || head === undefined || !may()) return false;
     return this.takeRest(records.items, head);
   }
 
   /** Applies what follows the last record known here; false when it was folded, so that all has to be loaded. */
-  private takeRest(records: Item[], head: Item | null): boolean {
+  private takeRest(records: KeyValue[], head: KeyValue | null): boolean {
     this.lastAnswerAt = this.clock.steady();
     const first = records[0];
     const isFolded = first
-      ? recordOf(first.key) > this.state.nextRecord
-      : head !== null && (head.value as HeadValue).upto >= this.state.nextRecord;
+      ? recordNumberOf(first.key) > this.state.nextRecord
+      : head !== null && (head.value as SnapshotHead).upto >= this.state.nextRecord;
     if (isFolded) this.loaded = false;
-    else for (const { key, value } of records) this.take(recordOf(key), value as LogRecord);
+    else for (const { key, value } of records) this.take(recordNumberOf(key), value as LogRecord);
     return this.loaded;
   }
 
@@ -271,8 +268,12 @@
   async catchUp(patienceMs: number): Promise<boolean> {
     if (!this.loaded) return this.load(patienceMs);
     const [records, head] = await Promise.all([
-      this.store.list(RECORDS, recordKey(this.state.nextRecord - 1), Math.max(LIST_MS, patienceMs)),
-      this.store.get(HEAD, Math.max(ANSWER_MS, patienceMs)),
+      this.store.list(
+        RECORD_PREFIX,
+        recordKey(this.state.nextRecord - 1),
+        Math.max(LIST_TIMEOUT_MS, patienceMs),
+      ),
+      this.store.get(SNAPSHOT_HEAD_KEY, Math.max(ANSWER_TIMEOUT_MS, patienceMs)),
     ]);
     if (!records || head === undefined) return false;
     if (!this.takeRest(records.items, head)) return this.load(patienceMs);
--- a/src/actors/hand-over.ts
+++ b/src/actors/hand-over.ts
@@ -2,8 +2,8 @@
 import type { NodeId, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
-import type { HeardStatus } from '../io/peers.js';
-import type { Store } from '../wire/store.js';
+import type { ReceivedStatus } from '../io/peers.js';
+import type { StateServiceClient } from '../wire/store.js';
 import type { LeaderActor } from './leader.js';
 import type { HeldLock, Lock } from './lock.js';
 import { ReachClaims } from './reach-claims.js';
@@ -16,7 +16,7 @@
 export interface HandOverOptions {
   clock: Clock;
   logger: Logger;
-  store: Store;
+  store: StateServiceClient;
   lock: Lock;
   /** The lease's time, in milliseconds. */
   leaseDurationMs: number;
@@ -56,7 +56,7 @@
   }
 
   /** Called again and again: gives the lock away where that serves. `leader` is null while the log is read on. */
-  async check(leader: LeaderActor | null, peers: readonly HeardStatus[]): Promise<void> {
+  async check(leader: LeaderActor | null, peers: readonly ReceivedStatus[]): Promise<void> {
     const { lock } = this.options;
     const held = lock.held;
     if (!held) {
@@ -97,7 +97,7 @@
   private async unreached(
     { workers }: LeaderActor,
     term: Term,
-    peers: readonly HeardStatus[],
+    peers: readonly ReceivedStatus[],
   ): Promise<string | null> {
     if (this.options.lock.isCertain() && workers.intake.areAllSilent()) return this.reach.check(term, peers);
     this.reach.reset();
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -9,9 +9,9 @@
 import type { HttpCall } from '../io/http-client.js';
 import type { Logger } from '../io/logger.js';
 import type { Measure } from '../io/metrics.js';
-import type { Cloud } from '../wire/cloud.js';
+import type { CloudClient } from '../wire/cloud.js';
 import { teamsOf, type Settings } from '../wire/settings.js';
-import type { Store } from '../wire/store.js';
+import type { StateServiceClient } from '../wire/store.js';
 import { Acknowledgements } from './acknowledgements.js';
 import { Actor } from './actor.js';
 import { AdmissionActor } from './admission.js';
@@ -26,8 +26,8 @@
 
 export interface LeaderDependencies {
   clock: Clock;
-  store: Store;
-  cloud: Cloud;
+  store: StateServiceClient;
+  cloud: CloudClient;
   call: HttpCall;
   random: Random;
   logger: Logger;
--- a/src/actors/lease.ts
+++ b/src/actors/lease.ts
@@ -3,7 +3,7 @@
 import type { Cancel, Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { Measure } from '../io/metrics.js';
-import type { LeaseId, Renewal, Store } from '../wire/store.js';
+import type { LeaseId, RenewalResult, StateServiceClient } from '../wire/store.js';
 
 /** The worst difference between two steady clocks, doubled. */
 export const MAX_CLOCK_DRIFT = 0.001;
@@ -27,7 +27,7 @@
 }
 
 export interface LeaseOptions {
-  store: Store;
+  store: StateServiceClient;
   clock: Clock;
   logger: Logger;
   measure: Measure;
@@ -93,7 +93,7 @@
   async end(): Promise<void> {
     this.stop();
     for (let requests = 0; requests < MOST_END_REQUESTS; requests++)
-      if (await this.options.store.endLease(this.id)) return;
+      if (await this.options.store.revokeLease(this.id)) return;
   }
 
   private get renewalMs(): number {
@@ -110,10 +110,10 @@
     this.cancelRenewal = clock.after(this.renewalMs, () => this.renew());
     const sentAt = clock.steady();
     this.statistics.sent++;
-    void store.renew(this.id, lifeMs).then((answer) => this.take(answer, sentAt));
+    void store.renewLease(this.id, lifeMs).then((answer) => this.take(answer, sentAt));
   }
 
-  private take(answer: Renewal, sentAt: SteadyMs): void {
+  private take(answer: RenewalResult, sentAt: SteadyMs): void {
     const { clock, leaseDurationMs: lifeMs, logger, measure, onEnded } = this.options;
     const tookMs = clock.steady() - sentAt;
     const isTimely = answer === 'ok' && tookMs <= lifeMs - this.renewalMs;
@@ -127,7 +127,7 @@
     this.extend(this.validFrom(sentAt));
   }
 
-  private count(answer: Renewal, isTimely: boolean): void {
+  private count(answer: RenewalResult, isTimely: boolean): void {
     if (answer === 'unanswered') this.statistics.unanswered++;
     else if (answer !== 'ok') this.statistics.refused++;
     else if (isTimely) this.statistics.timely++;
--- a/src/actors/lock.ts
+++ b/src/actors/lock.ts
@@ -3,8 +3,14 @@
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { Measure } from '../io/metrics.js';
-import { LEADER, readLeaderValue, readTermValue, TERM, type LeaderValue } from '../wire/keys.js';
-import { ANSWER_MS, type LeaseId, type Stamp, type Store, type TxnResult } from '../wire/store.js';
+import { LEADER_KEY, readLeaderValue, readTermValue, TERM_KEY, type LeaderValue } from '../wire/keys.js';
+import {
+  ANSWER_TIMEOUT_MS,
+  type LeaseId,
+  type Version,
+  type StateServiceClient,
+  type TransactionResult,
+} from '../wire/store.js';
 import { RenewedLease, type RenewalStatistics } from './lease.js';
 
 /** The shortest lease of the leader key. */
@@ -25,15 +31,15 @@
 
 export interface HeldLock {
   term: Term;
-  version: Stamp;
+  version: Version;
 }
 
 /** Who holds the leader key, as far as could be read. */
-type Holder = { who: 'us'; stamp: Stamp } | { who: 'another' | 'nobody' | 'unknown' };
+type Holder = { who: 'us'; stamp: Version } | { who: 'another' | 'nobody' | 'unknown' };
 const NOT_READ: Holder = { who: 'unknown' };
 
 export interface LockOptions {
-  store: Store;
+  store: StateServiceClient;
   clock: Clock;
   logger: Logger;
   measure: Measure;
@@ -84,7 +90,7 @@
   /** Tries to take the free lock. The term is raised in the same transaction. */
   async tryAcquire(): Promise<HeldLock | null> {
     const { leaseDurationMs: lifeMs, store } = this.options;
-    const former = await store.get(TERM, lifeMs);
+    const former = await store.get(TERM_KEY, lifeMs);
     if (former === undefined) return null;
     const formerTerm = former === null ? 0 : readTermValue(former.value);
     // Guards the terms' order: no next one follows from what can't be read.
@@ -93,7 +99,7 @@
     const lease = await this.newLease();
     if (!lease) return null;
     this.isAcquiring = true;
-    const version = await this.take(lease.id, term, former?.stamp ?? 0);
+    const version = await this.take(lease.id, term, former?.version ?? 0);
     this.isAcquiring = false;
     if (version === null || this.lease !== lease) {
       void lease.end();
@@ -107,7 +113,7 @@
   private async newLease(): Promise<RenewedLease | null> {
     const { clock, leaseDurationMs: lifeMs, logger, measure, store } = this.options;
     const askedAt = clock.steady();
-    const id = await store.lease(lifeMs, lifeMs);
+    const id = await store.grantLease(lifeMs, lifeMs);
     if (id === undefined) return null;
     const lease: RenewedLease = new RenewedLease({
       ...{ store, clock, logger, measure, id, leaseDurationMs: lifeMs, requestedAt: askedAt },
@@ -125,36 +131,36 @@
   }
 
   /** The version of the leader key once it is ours; null: it is not, or nobody knows. */
-  private async take(lease: LeaseId, term: Term, termStamp: Stamp): Promise<Stamp | null> {
+  private async take(lease: LeaseId, term: Term, termStamp: Version): Promise<Version | null> {
     const answer = this.askFor(lease, term, termStamp);
     const isInTime = await Promise.race([
       answer.then(() => true),
-      sleep(this.options.clock, ANSWER_MS).then(() => false),
+      sleep(this.options.clock, ANSWER_TIMEOUT_MS).then(() => false),
     ]);
     // It may have been carried out, and only its answer be lost or late: the key says so.
     const early = isInTime ? NOT_READ : await this.readHolder(lease, term);
     if (early.who === 'us') return early.stamp;
     if (early.who === 'another') return null;
     const result = await answer;
-    if (result.r === 'done') return result.revision;
-    return result.r === 'unknown' ? this.readWhetherOurs(lease, term) : null;
+    if (result.outcome === 'done') return result.revision;
+    return result.outcome === 'unknown' ? this.readWhetherOurs(lease, term) : null;
   }
 
-  private askFor(lease: LeaseId, term: Term, termStamp: Stamp): Promise<TxnResult> {
+  private askFor(lease: LeaseId, term: Term, termStamp: Version): Promise<TransactionResult> {
     const { leaseDurationMs: lifeMs, identity: me, store } = this.options;
     const guards = [
-      { key: LEADER, stamp: 0 },
-      { key: TERM, stamp: termStamp },
+      { key: LEADER_KEY, stamp: 0 },
+      { key: TERM_KEY, stamp: termStamp },
     ];
     const ops = [
-      { put: LEADER, value: { ...me, term }, lease },
-      { put: TERM, value: { term } },
+      { put: LEADER_KEY, value: { ...me, term }, lease },
+      { put: TERM_KEY, value: { term } },
     ];
-    return store.txn(guards, ops, lifeMs);
+    return store.transact(guards, ops, lifeMs);
   }
 
   /** No answer will come any more. */
-  private async readWhetherOurs(lease: LeaseId, term: Term): Promise<Stamp | null> {
+  private async readWhetherOurs(lease: LeaseId, term: Term): Promise<Version | null> {
     for (let reads = 0; reads < MOST_READS; reads++) {
       const holder = await this.readHolder(lease, term);
       if (holder.who === 'us') return holder.stamp;
@@ -166,12 +172,12 @@
 
   private async readHolder(lease: LeaseId, term: Term): Promise<Holder> {
     const { leaseDurationMs: lifeMs, identity: me, store } = this.options;
-    const item = await store.get(LEADER, lifeMs);
+    const item = await store.get(LEADER_KEY, lifeMs);
     if (item === undefined) return NOT_READ;
     if (item === null) return { who: 'nobody' };
     const value = readLeaderValue(item.value);
-    const isOurs = value?.run === me.run && value.term === term && item.lease === lease;
-    return isOurs ? { who: 'us', stamp: item.stamp } : { who: 'another' };
+    const isOurs = value?.run === me.run && value.term === term && item.leaseId === lease;
+    return isOurs ? { who: 'us', stamp: item.version } : { who: 'another' };
   }
 
   /** Somebody else leads, or may lead. */
--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -4,8 +4,8 @@
 import type { LogEntry, JobId, LogRecord, RecordNumber, Term } from '../core/types.js';
 import { sleep, type Cancel, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
-import { LEADER, recordKey } from '../wire/keys.js';
-import type { Store, TxnResult } from '../wire/store.js';
+import { LEADER_KEY, recordKey } from '../wire/keys.js';
+import type { StateServiceClient, TransactionResult } from '../wire/store.js';
 import { Actor } from './actor.js';
 import { TokenBucket } from './token-bucket.js';
 import { COPY_TIMEOUT_MS, HedgedTransaction } from './write-copies.js';
@@ -19,7 +19,7 @@
 
 export interface LogOptions {
   state: ClusterState;
-  store: Store;
+  store: StateServiceClient;
   clock: Clock;
   logger: Logger;
   /** Of the state service, as the settings have them. */
@@ -45,7 +45,7 @@
 /** Of a value's limit, for what a record holds beside its entries. */
 const RECORD_FRAME_BYTES = 300;
 /** A write is tried again so long after each kind of result that settles nothing. */
-const RETRY_AFTER_MS: Record<TxnResult['r'], number> = {
+const RETRY_AFTER_MS: Record<TransactionResult['outcome'], number> = {
   ...{ done: 0, failed: 100, refused: 150, no_lease: 30, unknown: 30 },
 };
 
@@ -220,23 +220,23 @@
   private async settle(first: RecordNumber, batches: readonly Batch[]): Promise<boolean> {
     const puts = batches.map(({ record }, index) => ({ put: recordKey(first + index), value: record }));
     const absent = puts.map(({ put }) => ({ key: put, stamp: 0 }));
-    const guards = [{ key: LEADER, stamp: this.options.leaderVersion }, ...absent];
+    const guards = [{ key: LEADER_KEY, stamp: this.options.leaderVersion }, ...absent];
     const copies = new HedgedTransaction(this.clock, () =>
-      this.options.store.txn(guards, puts, COPY_TIMEOUT_MS),
+      this.options.store.transact(guards, puts, COPY_TIMEOUT_MS),
     );
     while (!this.stopped) {
       const result = await copies.next();
       if (this.stopped) return false;
-      if (result.r === 'done') return true;
-      const isOurs = result.r === 'failed' ? await this.isWrittenByUs(first, batches[0]!.record) : null;
+      if (result.outcome === 'done') return true;
+      const isOurs = result.outcome === 'failed' ? await this.isWrittenByUs(first, batches[0]!.record) : null;
       if (this.stopped) return false;
       if (isOurs) return true;
       if (isOurs === false) {
-        const refused = result.r === 'failed' ? result.keys.join(', ') : '';
+        const refused = result.outcome === 'failed' ? result.keys.join(', ') : '';
         this.options.onDeposed(`record ${first} was refused (${refused})`);
         return false;
       }
-      await sleep(this.clock, RETRY_AFTER_MS[result.r]);
+      await sleep(this.clock, RETRY_AFTER_MS[result.outcome]);
     }
     return false;
   }
--- a/src/actors/reach-claims.ts
+++ b/src/actors/reach-claims.ts
@@ -4,8 +4,8 @@
  */
 import type { NodeId, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import { REACH, reachKey, readReachClaim, type ReachClaim } from '../wire/keys.js';
-import type { Store } from '../wire/store.js';
+import { REACH_PREFIX, reachKey, readReachClaim, type ReachClaim } from '../wire/keys.js';
+import type { StateServiceClient } from '../wire/store.js';
 
 /** Claims of one node keep this distance. */
 const CLAIMS_APART_MS = 1000;
@@ -14,7 +14,7 @@
   private claimedAt = -Infinity as SteadyMs;
 
   constructor(
-    private readonly store: Store,
+    private readonly store: StateServiceClient,
     private readonly clock: Clock,
     private readonly me: NodeId,
   ) {}
@@ -23,12 +23,12 @@
   publish(term: Term, workers: number): void {
     if (this.clock.steady() - this.claimedAt < CLAIMS_APART_MS) return;
     this.claimedAt = this.clock.steady();
-    void this.store.txn([], [{ put: reachKey(this.me), value: { term, workers } }]);
+    void this.store.transact([], [{ put: reachKey(this.me), value: { term, workers } }]);
   }
 
   /** What the nodes claimed last; empty when it can't be read. What is no claim proves nothing. */
   async read(): Promise<ReachClaim[]> {
-    const found = await this.store.list(REACH, null);
+    const found = await this.store.list(REACH_PREFIX, null);
     return (found?.items ?? []).flatMap((item) => readReachClaim(item) ?? []);
   }
 }
--- a/src/actors/snapshot.ts
+++ b/src/actors/snapshot.ts
@@ -3,12 +3,12 @@
 import { chunked } from '../core/chunked.js';
 import { loadState } from '../core/state-dump.js';
 import type { ClusterState } from '../core/state.js';
-import { chunkKey, type HeadValue } from '../wire/keys.js';
-import type { Stamp } from '../wire/store.js';
+import { chunkKey, type SnapshotHead } from '../wire/keys.js';
+import type { Version } from '../wire/store.js';
 
 /** The snapshot in force, and the version of the key that says so. */
-export interface VersionedSnapshotHead extends HeadValue {
-  version: Stamp;
+export interface VersionedSnapshotHead extends SnapshotHead {
+  version: Version;
 }
 export const NO_SNAPSHOT: VersionedSnapshotHead = { upto: 0, chunks: 0, version: 0 };
 
@@ -57,7 +57,7 @@
 }
 
 /** The snapshot that a head names, from keys that were read; null when a chunk is missing. */
-export function stateFromChunks(keys: Map<string, unknown>, head: HeadValue): ClusterState | null {
+export function stateFromChunks(keys: Map<string, unknown>, head: SnapshotHead): ClusterState | null {
   const parts: string[] = [];
   for (let i = 0; i < head.chunks; i++) {
     const c = keys.get(chunkKey(head.upto, i));
--- a/src/actors/snapshotter.ts
+++ b/src/actors/snapshotter.ts
@@ -7,8 +7,8 @@
 import type { ClusterState } from '../core/state.js';
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
-import { HEAD, LEADER, chunkKey, recordKey, type HeadValue } from '../wire/keys.js';
-import type { Op, Stamp, Store } from '../wire/store.js';
+import { SNAPSHOT_HEAD_KEY, LEADER_KEY, chunkKey, recordKey, type SnapshotHead } from '../wire/keys.js';
+import type { WriteOperation, Version, StateServiceClient } from '../wire/store.js';
 import type { LogActor } from './log.js';
 import { toJsonLines, toCompressedChunks, type Compress, type VersionedSnapshotHead } from './snapshot.js';
 
@@ -24,14 +24,14 @@
 
 export interface SnapshotterOptions {
   state: ClusterState;
-  store: Store;
+  store: StateServiceClient;
   clock: Clock;
   logger: Logger;
   log: LogActor;
   compress: Compress;
   limits: { value_kb: number; txn_ops: number };
   /** The revision of the leader key that this leader wrote. */
-  leaderVersion: Stamp;
+  leaderVersion: Version;
   /** The snapshot in force at the take-over. */
   head: VersionedSnapshotHead;
   isCertain: () => boolean;
@@ -81,20 +81,20 @@
     logger.info({ upto, chunks: chunks.length, bytes: text.length }, 'folded');
   }
 
-  private writeChunks(upto: number, chunks: string[], headStamp: Stamp): Promise<boolean> {
-    const ops = chunks.map((value, i): Op => ({ put: chunkKey(upto, i), value }));
+  private writeChunks(upto: number, chunks: string[], headStamp: Version): Promise<boolean> {
+    const ops = chunks.map((value, i): WriteOperation => ({ put: chunkKey(upto, i), value }));
     const atOnce = Math.floor(TXN_KB / this.options.limits.value_kb);
     return this.writeInParts(ops, Math.max(1, Math.min(this.mostOps(), atOnce)), headStamp);
   }
 
   /** Puts the new head in force; null when that was refused for good. */
-  private async switchTo(value: HeadValue, oldStamp: Stamp): Promise<VersionedSnapshotHead | null> {
-    const stamp = await this.write([{ put: HEAD, value }], oldStamp);
+  private async switchTo(value: SnapshotHead, oldStamp: Version): Promise<VersionedSnapshotHead | null> {
+    const stamp = await this.write([{ put: SNAPSHOT_HEAD_KEY, value }], oldStamp);
     if (stamp !== null) return { ...value, version: stamp };
     // Refused: by an earlier copy of the same write, or because another leads.
     while (!this.isStopped) {
-      const key = await this.options.store.get(HEAD);
-      if (key && (key.value as HeadValue).upto === value.upto) return { ...value, version: key.stamp };
+      const key = await this.options.store.get(SNAPSHOT_HEAD_KEY);
+      if (key && (key.value as SnapshotHead).upto === value.upto) return { ...value, version: key.version };
       if (key !== undefined) return null;
       await sleep(this.options.clock, RETRY_MS);
     }
@@ -103,7 +103,7 @@
 
   /** Removes the records that the new head holds, and the old head's chunks. */
   private async remove(old: VersionedSnapshotHead, head: VersionedSnapshotHead): Promise<void> {
-    const ops: Op[] = [];
+    const ops: WriteOperation[] = [];
     for (let no = old.upto + 1; no <= head.upto; no++) ops.push({ remove: recordKey(no) });
     for (let i = 0; i < old.chunks; i++) ops.push({ remove: chunkKey(old.upto, i) });
     await this.writeInParts(ops, this.mostOps(), head.version);
@@ -113,25 +113,25 @@
     return Math.max(1, Math.min(this.options.limits.txn_ops, this.options.log.maxSpareWrites));
   }
 
-  private async writeInParts(ops: Op[], atOnce: number, headStamp: Stamp): Promise<boolean> {
+  private async writeInParts(ops: WriteOperation[], atOnce: number, headStamp: Version): Promise<boolean> {
     for (const part of chunked(ops, atOnce)) if ((await this.write(part, headStamp)) === null) return false;
     return true;
   }
 
   /** Writes when the rate allows it; the head's revision after it, null when it was refused for good. */
-  private async write(part: Op[], headStamp: Stamp): Promise<Stamp | null> {
+  private async write(part: WriteOperation[], headStamp: Version): Promise<Version | null> {
     const { clock, isCertain, leaderVersion: leaderStamp, log, store } = this.options;
     while (!this.isStopped) {
       if (isCertain() && log.takeSpareWrites(part.length)) {
         // Guards forgotten: a copy of an unanswered write that is carried out late finds another head,
         // so it neither puts an earlier one back nor writes chunks anew that were removed.
         const guards = [
-          { key: LEADER, stamp: leaderStamp },
-          { key: HEAD, stamp: headStamp },
+          { key: LEADER_KEY, stamp: leaderStamp },
+          { key: SNAPSHOT_HEAD_KEY, stamp: headStamp },
         ];
-        const result = await store.txn(guards, part);
-        if (result.r === 'done') return result.revision;
-        if (result.r === 'failed') return null;
+        const result = await store.transact(guards, part);
+        if (result.outcome === 'done') return result.revision;
+        if (result.outcome === 'failed') return null;
       }
       await sleep(clock, RETRY_MS);
     }
--- a/src/actors/state-service-doubt.ts
+++ b/src/actors/state-service-doubt.ts
@@ -5,7 +5,7 @@
 import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
-import type { HeardStatus } from '../io/peers.js';
+import type { ReceivedStatus } from '../io/peers.js';
 
 /** Of a lease's time without a renewal answered in time: peers are asked whether the state service answers them. */
 const DOUBT_AFTER_LEASES = 1 / 2;
@@ -55,12 +55,12 @@
    * Why to give the lock away now; null: keep it. A full outage is no reason, since no peer is answered then: a
    * peer has to be answered for a lease's time, in which each renewal of this node had its chance.
    */
-  check(progress: HolderProgress, peers: readonly HeardStatus[]): string | null {
+  check(progress: HolderProgress, peers: readonly ReceivedStatus[]): string | null {
     const isLate = progress.sinceTimelyRenewalMs > this.lifeMs * DOUBT_AFTER_LEASES;
     const isStuck = progress.pendingMs > this.lifeMs * STUCK_DOUBT_LEASES;
     this.note(isLate || isStuck, progress);
     const peerReaches = peers.some(
-      ({ status, age }) => age < STATUS_MAX_AGE_MS && status.reachesState && !status.gaveWay,
+      ({ status, ageMs: age }) => age < STATUS_MAX_AGE_MS && status.reachesState && !status.gaveWay,
     );
     if (!this.doubting || !peerReaches) {
       this.peerReachesSince = null;
--- a/src/actors/user-requests.ts
+++ b/src/actors/user-requests.ts
@@ -4,7 +4,7 @@
  */
 import type { JobId, JobSpec } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import type { PeerAnswer, PeerAsk, Peers } from '../io/peers.js';
+import type { PeerResponse, PeerRequest, Peers } from '../io/peers.js';
 import {
   finalAnswer,
   retryLater,
@@ -70,7 +70,7 @@
   }
 
   /** A peer passes on what its user asked. */
-  async answerPeer(ask: PeerAsk): Promise<PeerAnswer> {
+  async answerPeer(ask: PeerRequest): Promise<PeerResponse> {
     if (ask.kind === 'position') return this.answerPosition();
     const spec = ask.spec ? (JSON.parse(ask.spec) as JobSpec) : undefined;
     const reply =
@@ -79,7 +79,7 @@
   }
 
   /** The number of the next record. Guards older answers: only a leader that holds its lock knows it. */
-  private async answerPosition(): Promise<PeerAnswer> {
+  private async answerPosition(): Promise<PeerResponse> {
     const { follower, leading, lock } = this.options;
     const ok = (await leading()?.log.whenSettled(SETTLE_MS)) === true && lock.isCertain();
     return {
@@ -98,7 +98,7 @@
     });
   }
 
-  private async askLeader(ask: PeerAsk): Promise<PeerAnswer | null> {
+  private async askLeader(ask: PeerRequest): Promise<PeerResponse | null> {
     const to = this.options.otherLeader();
     const peers = this.options.peers();
     return to && peers ? peers.ask(to, ask) : null;
@@ -133,6 +133,6 @@
   }
 }
 
-const replyOf = ({ status, body }: PeerAnswer, retryAfter: number | undefined): Reply => ({
+const replyOf = ({ status, body }: PeerResponse, retryAfter: number | undefined): Reply => ({
   ...{ status, body: JSON.parse(body) as object, retryAfter },
 });
--- a/src/actors/worker-reach.ts
+++ b/src/actors/worker-reach.ts
@@ -4,7 +4,7 @@
  */
 import type { SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import type { HeardStatus } from '../io/peers.js';
+import type { ReceivedStatus } from '../io/peers.js';
 import type { ReachClaim } from '../wire/keys.js';
 import type { ReachClaims } from './reach-claims.js';
 
@@ -41,9 +41,9 @@
   }
 
   /** Called again and again while no worker is heard: why to give the lock away now; null: keep it. */
-  async check(term: Term, peers: readonly HeardStatus[]): Promise<string | null> {
+  async check(term: Term, peers: readonly ReceivedStatus[]): Promise<string | null> {
     const { clock, claims, peerCount: others } = this.options;
-    const heard = peers.filter(({ age }) => age < STATUS_FRESH_MS).map(({ status }) => status);
+    const heard = peers.filter(({ ageMs: age }) => age < STATUS_FRESH_MS).map(({ status }) => status);
     const isBetterReached = heard.some(({ workers, leaderTerm }) => workers > 0 && leaderTerm === term);
     if (!isBetterReached) this.betterReachedSince = null;
     else this.betterReachedSince ??= clock.steady();
@@ -56,7 +56,7 @@
     return isClaimed ? 'neither workers nor a peer that workers reach get through to this node' : null;
   }
 
-  private note({ node, stamp, term: claimedTerm }: ReachClaim, term: Term): void {
+  private note({ node, version: stamp, term: claimedTerm }: ReachClaim, term: Term): void {
     const former = this.claimed.get(node);
     if (!former) this.claimed.set(node, { stamp, changes: 0 });
     else if (former.stamp !== stamp && claimedTerm === term)
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -8,7 +8,7 @@
 import type { Command, Fence, JobId, MachineId, Term, WorkerReport } from '../core/types.js';
 import type { AttemptKey } from '../core/unsettled-calls.js';
 import type { Clock } from '../io/clock.js';
-import type { HttpAnswer, HttpCall } from '../io/http-client.js';
+import type { HttpResponse, HttpCall } from '../io/http-client.js';
 import type { Logger } from '../io/logger.js';
 import { readReport } from '../wire/reports.js';
 import { Actor } from './actor.js';
@@ -260,7 +260,7 @@
   }
 
   /** Takes the report that answers a direct call; false when the call may not have been dealt with. */
-  private takeAnswer(machine: Machine, answer: HttpAnswer | null): boolean {
+  private takeAnswer(machine: Machine, answer: HttpResponse | null): boolean {
     const wasDealtWith = answer?.status === 200 || answer?.status === 409;
     const report = wasDealtWith ? readReport(answer.body) : null;
     if (report?.machine !== machine.id) return false;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -9,18 +9,18 @@
 import { Controller } from '../actors/controller.js';
 import { defaultPolicy, type Policy } from '../core/policy.js';
 import type { NodeId } from '../core/types.js';
-import { hostPort } from '../io/address.js';
+import { parseHostPort } from '../io/address.js';
 import { realClock } from '../io/clock.js';
-import { httpCaller, type HttpCall } from '../io/http-client.js';
-import { Metrics, processFigures } from '../io/metrics.js';
+import { createHttpCall, type HttpCall } from '../io/http-client.js';
+import { Metrics, processMetrics } from '../io/metrics.js';
 import { PeerLinks } from '../io/peers.js';
-import { server } from '../io/server.js';
-import { Cloud } from '../wire/cloud.js';
+import { createApiServer } from '../io/server.js';
+import { CloudClient } from '../wire/cloud.js';
 import { readSettings, type Settings } from '../wire/settings.js';
-import { jobCommands, showLog } from './jobs.js';
+import { registerJobCommands, printLog } from './jobs.js';
 import { readPolicy } from './policy.js';
-import { agreeing, exercise } from './warm.js';
-import { Store } from '../wire/store.js';
+import { stubHttpCall, exerciseController } from './warm.js';
+import { StateServiceClient } from '../wire/store.js';
 
 function load(file: string): Settings {
   return readSettings(JSON.parse(readFileSync(file, 'utf8')));
@@ -47,13 +47,13 @@
   // Connections kept for later leave a fifth of the sockets to users, peers and what comes new.
   let served = 0;
   const sockets = settings.cluster.machine_limits.sockets;
-  const call = caller ?? httpCaller((mine) => served + mine < sockets * 0.8);
+  const call = caller ?? createHttpCall((mine) => served + mine < sockets * 0.8);
   const metrics = new Metrics();
   const controller = new Controller(
     {
       clock: realClock,
-      store: new Store(call, settings.external.state),
-      cloud: new Cloud(call, settings.external.cloud),
+      store: new StateServiceClient(call, settings.external.state),
+      cloud: new CloudClient(call, settings.external.cloud),
       call,
       random: { intBelow: (n) => uniformInt(rng, 0, n - 1) },
       logger,
@@ -65,8 +65,8 @@
     randomUUID(),
   );
   const links = new PeerLinks(
-    hostPort(settings.back),
-    settings.seeds.map((p) => ({ node: p.node as NodeId, ...hostPort(p.peer_addr) })),
+    parseHostPort(settings.back),
+    settings.seeds.map((p) => ({ node: p.node as NodeId, ...parseHostPort(p.peer_addr) })),
     () => controller.status(),
     {
       ask: (a) => controller.requests.answerPeer(a),
@@ -74,13 +74,13 @@
     },
     logger,
   );
-  const http = server(
+  const http = createApiServer(
     controller,
     () => ({
       ...controller.status(),
       ...controller.leaderStatistics(),
-      ...metrics.show(),
-      process: processFigures(),
+      ...metrics.summarize(),
+      process: processMetrics(),
     }),
     logger,
     metrics.measure,
@@ -95,7 +95,7 @@
 async function serve(settings: Settings, policy: Policy): Promise<void> {
   const { logger, controller, links, http } = assemble(settings, policy);
   links.start();
-  const { host, port } = hostPort(settings.serve_on);
+  const { host, port } = parseHostPort(settings.serve_on);
   http.on('error', fail);
   http.listen(port, host, 1024, () => logger.info({ on: settings.serve_on }, 'serving'));
   await controller.start(links);
@@ -120,9 +120,9 @@
       cloud: { rps: 3, list_lag_s: 10 },
     },
   });
-  const { http, controller } = assemble(settings, defaultPolicy, agreeing);
+  const { http, controller } = assemble(settings, defaultPolicy, stubHttpCall);
   http.close();
-  await exercise(controller);
+  await exerciseController(controller);
   // The build ends the process itself, once it has kept what was compiled.
   setTimeout(() => process.exit(0), WARM_EXIT_MS);
 }
@@ -154,8 +154,8 @@
   .description('show the records and the snapshot in the state service')
   .requiredOption('--config <file>', "the platform's settings (JSON)")
   .option('--json', 'in JSON')
-  .action((o: Files & { json?: boolean }) => showLog(load(o.config), o.json === true));
-jobCommands(program);
+  .action((o: Files & { json?: boolean }) => printLog(load(o.config), o.json === true));
+registerJobCommands(program);
 program
   .command('warm', { hidden: true })
   .description('used by the build: goes once through what a start goes through')
--- a/src/cli/warm.ts
+++ b/src/cli/warm.ts
@@ -5,8 +5,8 @@
  */
 import type { Controller } from '../actors/controller.js';
 import type { JobId } from '../core/types.js';
-import type { HttpAnswer, HttpCall } from '../io/http-client.js';
-import { ReportReader, writeOrdersText } from '../wire/reports.js';
+import type { HttpResponse, HttpCall } from '../io/http-client.js';
+import { ReportReader, writeReportAnswerJson } from '../wire/reports.js';
 import { readJob } from '../wire/schemas.js';
 
 const MACHINES = ['vm-1', 'vm-2'];
@@ -14,7 +14,7 @@
 const STEP_MS = 100;
 const STEPS = 45;
 
-const ok = (body: object): HttpAnswer => ({ status: 200, body });
+const ok = (body: object): HttpResponse => ({ status: 200, body });
 
 const flavors = {
   breeds: [
@@ -23,7 +23,7 @@
 };
 
 /** A state service and a cloud that agree to everything. */
-export const agreeing: HttpCall = async (_address, method, path) => {
+export const stubHttpCall: HttpCall = async (_address, method, path) => {
   if (path === '/flavors') return ok(flavors);
   if (path === '/hosts' && method === 'POST') return ok({ mounts: MACHINES });
   if (path.startsWith('/hosts')) return ok({ mounts: [], truncated: false });
@@ -71,7 +71,9 @@
     if (!report) throw new Error('a report that is none');
     controller.handleReport(report, (answer) => {
       if (answer.kind !== 'commands') return;
-      const { warrant, orders } = JSON.parse(writeOrdersText(answer.term, answer.fence, answer.commands)) as {
+      const { warrant, orders } = JSON.parse(
+        writeReportAnswerJson(answer.term, answer.fence, answer.commands),
+      ) as {
         warrant: number;
         orders: Order[];
       };
@@ -90,9 +92,9 @@
 const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
 
 /** Goes through what a controller does most, once. */
-export async function exercise(controller: Controller): Promise<void> {
+export async function exerciseController(controller: Controller): Promise<void> {
   const workers = MACHINES.map((machine) => new WarmWorker(machine));
-  void controller.start({ ask: async () => null, linked: () => true, statuses: () => [] });
+  void controller.start({ ask: async () => null, isConnected: () => true, statuses: () => [] });
   for (let step = 0; step < STEPS; step++) {
     await sleep(STEP_MS);
     const read = readJob(job((step % JOBS) + 1));
--- a/src/io/address.ts
+++ b/src/io/address.ts
@@ -12,7 +12,7 @@
 const NO_HOST: ReadonlySet<string> = new Set(['multicast', 'broadcast']);
 
 /** Cuts an address that is known to be well formed. */
-export function hostPort(address: string): HostPort {
+export function parseHostPort(address: string): HostPort {
   const cut = address.lastIndexOf(':');
   const host = address.slice(0, cut).replace(/^\[(.*)\]$/, '$1');
   return { host, port: Number(address.slice(cut + 1)) };
@@ -22,7 +22,7 @@
 export function addressProblem(address: string): string | null {
   const parts = /^(\[[^\]]*\]|[^:\s]+):(\d+)$/.exec(address);
   if (!parts) return `expected host:port, found "${address}"`;
-  const { host, port } = hostPort(address);
+  const { host, port } = parseHostPort(address);
   if (port > HIGHEST_PORT) return `expected a port of at most ${HIGHEST_PORT}, found ${port}`;
   if (ipaddr.isValid(host)) return rangeProblem(host);
   const looksNumeric = /^[\d.]+$/.test(host) || parts[1]!.startsWith('[');
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -1,9 +1,9 @@
 /** HTTP requests to workers, the state service and the cloud, over connections that are kept and reused. */
 import net from 'node:net';
-import { hostPort } from './address.js';
+import { parseHostPort } from './address.js';
 import { encodingOf, ResponseReader, writeRequest } from './http-message.js';
 
-export interface HttpAnswer {
+export interface HttpResponse {
   status: number;
   body: unknown;
 }
@@ -15,7 +15,7 @@
   path: string,
   body: unknown,
   timeoutMs: number,
-) => Promise<HttpAnswer | null>;
+) => Promise<HttpResponse | null>;
 
 /** How long a connection is kept with nothing to do. */
 const IDLE_MS = 8000;
@@ -23,9 +23,9 @@
 
 /** Whether another connection may be kept, when so many are open. */
 type MayKeep = (open: number) => boolean;
-type Settle = (answer: HttpAnswer | null) => void;
+type Settle = (answer: HttpResponse | null) => void;
 
-function parseAnswer(status: number, text: string): HttpAnswer {
+function parseAnswer(status: number, text: string): HttpResponse {
   try {
     return { status, body: text ? (JSON.parse(text) as unknown) : undefined };
   } catch {
@@ -45,7 +45,7 @@
     private readonly onIdle: (connection: ClientConnection) => void,
     private readonly onClosed: (connection: ClientConnection) => void,
   ) {
-    this.socket = net.connect({ ...hostPort(address), noDelay: true });
+    this.socket = net.connect({ ...parseHostPort(address), noDelay: true });
     this.socket.on('data', (bytes: Buffer) => this.receive(bytes));
     this.socket.on('end', () => this.finish(this.reader?.end() ?? null));
     this.socket.on('error', () => this.destroy());
@@ -92,7 +92,7 @@
     if (!response.close) this.onIdle(this);
   }
 
-  private answer(answer: HttpAnswer | null): void {
+  private answer(answer: HttpResponse | null): void {
     const { settle } = this;
     this.reader = null;
     this.settle = null;
@@ -137,7 +137,7 @@
   }
 }
 
-export function httpCaller(mayKeep: MayKeep = () => true): HttpCall {
+export function createHttpCall(mayKeep: MayKeep = () => true): HttpCall {
   const pool = new ConnectionPool(mayKeep);
   return (address, method, path, body, timeoutMs) =>
     new Promise((resolve) => {
--- a/src/io/metrics.ts
+++ b/src/io/metrics.ts
@@ -22,7 +22,7 @@
     histogram.record(Math.max(1, Math.min(HIGHEST_MS, Math.round(ms))));
   };
 
-  show(): Record<string, object> {
+  summarize(): Record<string, object> {
     return Object.fromEntries(
       [...this.histograms].map(([what, histogram]) => [
         `${what}_ms`,
@@ -45,7 +45,7 @@
  * Processor time and memory of this process since its start. The event loop's utilisation stands for its
  * delay: a delay histogram wakes the process a hundred times a second, which small machines feel.
  */
-export function processFigures(): object {
+export function processMetrics(): object {
   const { user, system } = process.cpuUsage();
   const memory = process.memoryUsage();
   return {
--- a/src/io/peers.ts
+++ b/src/io/peers.ts
@@ -30,12 +30,12 @@
 }
 
 /** The last status of a peer, and its age in milliseconds. */
-export interface HeardStatus {
+export interface ReceivedStatus {
   status: PeerStatus;
-  age: number;
+  ageMs: number;
 }
 
-export interface PeerAsk {
+export interface PeerRequest {
   /** position: how far the leader's log is. */
   kind: 'submit' | 'show' | 'withdraw' | 'position';
   job: string;
@@ -43,7 +43,7 @@
   spec?: string;
 }
 
-export interface PeerAnswer {
+export interface PeerResponse {
   status: number;
   /** JSON */
   body: string;
@@ -51,11 +51,11 @@
 }
 
 export interface Peers {
-  ask(node: string, ask: PeerAsk): Promise<PeerAnswer | null>;
+  ask(node: string, ask: PeerRequest): Promise<PeerResponse | null>;
   /** Whether a connection to the node stands. */
-  linked(node: string): boolean;
+  isConnected(node: string): boolean;
   /** The last status of each peer. */
-  statuses(): HeardStatus[];
+  statuses(): ReceivedStatus[];
 }
 
 const root = Root.fromJSON({
@@ -110,8 +110,8 @@
   status?: PeerStatus | null;
   /** With a status: when the question was put, on the clock of who put it; the answer says it again. */
   asked?: number;
-  ask?: ({ id: number } & PeerAsk) | null;
-  answer?: ({ id: number } & PeerAnswer) | null;
+  ask?: ({ id: number } & PeerRequest) | null;
+  answer?: ({ id: number } & PeerResponse) | null;
 }
 
 const encode = (f: FrameValue): Buffer => {
@@ -146,7 +146,7 @@
 }
 
 /** Whether a status says something: one that was made up or damaged must prove nothing and extend nothing. */
-export const isSoundStatus = (status: PeerStatus): boolean =>
+export const isValidStatus = (status: PeerStatus): boolean =>
   [status.term, status.leaderTerm].every((term) => Number.isSafeInteger(term) && term >= 0) &&
   [status.remembersMs, status.stateAge, status.workers].every((amount) => amount >= 0 && amount < Infinity);
 
@@ -156,7 +156,7 @@
 export class PeerLinks implements Peers {
   private readonly known = new Map<string, { status: PeerStatus; at: number }>();
   private readonly open = new Map<string, net.Socket>();
-  private readonly waiting = new Map<number, { on: net.Socket; end: (a: PeerAnswer | null) => void }>();
+  private readonly waiting = new Map<number, { on: net.Socket; end: (a: PeerResponse | null) => void }>();
   private nextId = 1;
 
   constructor(
@@ -164,7 +164,7 @@
     private readonly peers: { node: NodeId; host: string; port: number }[],
     private readonly mine: () => PeerStatus,
     private readonly on: {
-      ask: (a: PeerAsk) => Promise<PeerAnswer>;
+      ask: (a: PeerRequest) => Promise<PeerResponse>;
       status: (s: PeerStatus, asked?: SteadyMs) => void;
     },
     private readonly log: Logger,
@@ -213,7 +213,7 @@
   }
 
   private heard(s: PeerStatus, asked?: SteadyMs): void {
-    if (!this.peers.some(({ node }) => node === s.node) || !isSoundStatus(s)) return this.noteUnsound(s);
+    if (!this.peers.some(({ node }) => node === s.node) || !isValidStatus(s)) return this.noteUnsound(s);
     this.known.set(s.node, { status: s, at: realClock.steady() });
     this.on.status(s, asked);
   }
@@ -263,12 +263,12 @@
     });
   }
 
-  ask(node: string, ask: PeerAsk): Promise<PeerAnswer | null> {
+  ask(node: string, ask: PeerRequest): Promise<PeerResponse | null> {
     const s = this.open.get(node);
     if (!s) return Promise.resolve(null);
     const id = this.nextId++ >>> 0;
     return new Promise((resolve) => {
-      const end = (a: PeerAnswer | null): void => {
+      const end = (a: PeerResponse | null): void => {
         clearTimeout(timer);
         this.waiting.delete(id);
         resolve(a);
@@ -279,12 +279,12 @@
     });
   }
 
-  linked(node: string): boolean {
+  isConnected(node: string): boolean {
     return this.open.has(node);
   }
 
-  statuses(): HeardStatus[] {
+  statuses(): ReceivedStatus[] {
     const now = realClock.steady();
-    return [...this.known.values()].map((k) => ({ status: k.status, age: now - k.at }));
+    return [...this.known.values()].map((k) => ({ status: k.status, ageMs: now - k.at }));
   }
 }
--- a/src/io/server.ts
+++ b/src/io/server.ts
@@ -6,9 +6,9 @@
 import type { Measure } from './metrics.js';
 import type { Logger } from './logger.js';
 import type { JobId } from '../core/types.js';
-import { ReportReader, writeOrdersText } from '../wire/reports.js';
-import { jobIdForm, readJob, writeElsewhere } from '../wire/schemas.js';
-import { WorkerConnection, type AnswerReport, type ReportAnswer } from './worker-connection.js';
+import { ReportReader, writeReportAnswerJson } from '../wire/reports.js';
+import { jobIdPattern, readJob, writeRedirect } from '../wire/schemas.js';
+import { WorkerConnection, type ReportHandler, type ReportResponse } from './worker-connection.js';
 
 const send = (res: http.ServerResponse, r: Reply): void => {
   if (r.retryAfter !== undefined) {
@@ -26,7 +26,7 @@
 };
 
 /** Answers the reports that arrive on one connection. */
-function answerReports(controller: Controller): AnswerReport {
+function answerReports(controller: Controller): ReportHandler {
   const reader = new ReportReader();
   return (text, reply) => {
     const report = text === null ? null : reader.read(text);
@@ -34,13 +34,13 @@
     controller.handleReport(report, (h) =>
       reply(
         h.kind === 'commands'
-          ? { status: 200, body: writeOrdersText(h.term, h.fence, h.commands) }
-          : { status: 421, body: JSON.stringify(writeElsewhere(h.leader)) },
+          ? { status: 200, body: writeReportAnswerJson(h.term, h.fence, h.commands) }
+          : { status: 421, body: JSON.stringify(writeRedirect(h.leader)) },
       ),
     );
   };
 }
-const MALFORMED_REPORT: ReportAnswer = { status: 400, body: '{"error":"malformed report"}' };
+const MALFORMED_REPORT: ReportResponse = { status: 400, body: '{"error":"malformed report"}' };
 
 /** A report in a form that its connection's own reading leaves to Node's server. */
 function hello(controller: Controller, req: http.IncomingMessage, res: http.ServerResponse): void {
@@ -61,7 +61,7 @@
 
 /** A user's question, on Node's own server: users ask many times as often as they submit. */
 function show(c: Controller, id: string, res: http.ServerResponse, measure: Measure): void {
-  if (!jobIdForm.test(id)) return send(res, jobNotFound);
+  if (!jobIdPattern.test(id)) return send(res, jobNotFound);
   const from = performance.now();
   void c.requests.answer({ kind: 'show', job: id as JobId }).then((r) => {
     measure('question', performance.now() - from);
@@ -73,7 +73,12 @@
 const BODY_MOST = 64 * 1024;
 
 /** The HTTP interface for users, workers and health checks. */
-export function server(c: Controller, metrics: () => object, logger: Logger, measure: Measure): net.Server {
+export function createApiServer(
+  c: Controller,
+  metrics: () => object,
+  logger: Logger,
+  measure: Measure,
+): net.Server {
   const app = express();
   app.disable('x-powered-by');
   app.disable('etag');
@@ -85,7 +90,7 @@
       logger.info({ error: j.error, body: req.body as unknown }, 'malformed submission');
       const id = (req.body as { name_id?: unknown } | null | undefined)?.name_id;
       const refused = (): void => json(res, 400, { error: j.error });
-      if (typeof id !== 'string' || !jobIdForm.test(id)) return refused();
+      if (typeof id !== 'string' || !jobIdPattern.test(id)) return refused();
       // Guards forgotten: an accepted job is answered for, whatever its repeat's body.
       void c.requests
         .answer({ kind: 'show', job: id as JobId })
@@ -102,7 +107,7 @@
   });
   app.post('/v1/jobs/:id/withdraw', (req, res) => {
     const id = req.params.id;
-    if (!jobIdForm.test(id)) return send(res, jobNotFound);
+    if (!jobIdPattern.test(id)) return send(res, jobNotFound);
     void c.requests.answer({ kind: 'withdraw', job: id as JobId }).then((r) => {
       logger.debug({ job: id, status: r.status, why: r.body }, 'cancellation');
       send(res, r);
--- a/src/io/worker-connection.ts
+++ b/src/io/worker-connection.ts
@@ -10,13 +10,13 @@
 const IDLE_MS = 120_000;
 const NO_BYTES = Buffer.alloc(0);
 
-export interface ReportAnswer {
+export interface ReportResponse {
   status: number;
   body: string;
 }
 
 /** Answers the text of one report; `null` instead of a text that was too long. */
-export type AnswerReport = (text: string | null, reply: (answer: ReportAnswer) => void) => void;
+export type ReportHandler = (text: string | null, reply: (answer: ReportResponse) => void) => void;
 
 /** Whether what has arrived so far is, or may become, a worker's report. */
 function mayBeReport(bytes: Buffer): boolean {
@@ -36,7 +36,7 @@
 
   constructor(
     private readonly socket: net.Socket,
-    private readonly answer: AnswerReport,
+    private readonly answer: ReportHandler,
     /** Takes over a connection with what arrived on it and is not read yet. */
     private readonly handOver: (socket: net.Socket, unread: Buffer) => void,
   ) {
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -2,22 +2,23 @@
 import * as z from 'zod';
 import type { RecordNumber, Term } from '../core/types.js';
 
-export const ROOT = 'q/';
-export const LEADER = 'q/leader';
-export const TERM = 'q/term';
-export const HEAD = 'q/head';
-export const RECORDS = 'q/r/';
+export const ROOT_PREFIX = 'q/';
+export const LEADER_KEY = 'q/leader';
+export const TERM_KEY = 'q/term';
+export const SNAPSHOT_HEAD_KEY = 'q/head';
+export const RECORD_PREFIX = 'q/r/';
 export const CHUNKS = 'q/s/';
 /** Under it the controllers say that workers ask them, though they can't hear the leader. */
-export const REACH = 'q/reach/';
+export const REACH_PREFIX = 'q/reach/';
 
 const pad = (n: number): string => String(n).padStart(12, '0');
-export const recordKey = (n: RecordNumber | number): string => RECORDS + pad(n);
-export const recordOf = (key: string): RecordNumber => Number(key.slice(RECORDS.length)) as RecordNumber;
+export const recordKey = (n: RecordNumber | number): string => RECORD_PREFIX + pad(n);
+export const recordNumberOf = (key: string): RecordNumber =>
+  Number(key.slice(RECORD_PREFIX.length)) as RecordNumber;
 export const chunkKey = (upto: number, i: number): string =>
   `${CHUNKS}${pad(upto)}/${String(i).padStart(5, '0')}`;
 
-export const reachKey = (node: string): string => REACH + node;
+export const reachKey = (node: string): string => REACH_PREFIX + node;
 
 export interface LeaderValue {
   node: string;
@@ -42,17 +43,19 @@
   term: number;
   workers: number;
   /** The version of its key: a newer one was written later. */
-  stamp: number;
+  version: number;
 }
 const reachValue = z.object({ term: z.int().min(0), workers: z.int().min(1) });
 
 /** Null when it can't be read. */
-export function readReachClaim(item: { key: string; value: unknown; stamp: number }): ReachClaim | null {
+export function readReachClaim(item: { key: string; value: unknown; version: number }): ReachClaim | null {
   const read = reachValue.safeParse(item.value);
-  return read.success ? { node: item.key.slice(REACH.length), stamp: item.stamp, ...read.data } : null;
+  return read.success
+    ? { node: item.key.slice(REACH_PREFIX.length), version: item.version, ...read.data }
+    : null;
 }
 
-export interface HeadValue {
+export interface SnapshotHead {
   upto: number;
   chunks: number;
 }
--- a/src/wire/reports.ts
+++ b/src/wire/reports.ts
@@ -15,7 +15,7 @@
   Term,
   WorkerReport,
 } from '../core/types.js';
-import { FENCES, writeOrders } from './schemas.js';
+import { FENCES_PER_TERM, writeReportAnswer } from './schemas.js';
 
 const taskStates: Readonly<Record<string, TaskState | undefined>> = {
   fetching: 'fetching',
@@ -94,8 +94,8 @@
     spot: loaners === true,
     session: stint as Session,
     seq: tally,
-    term: Math.floor(warrant / FENCES) as Term,
-    fence: (warrant % FENCES) as Fence,
+    term: Math.floor(warrant / FENCES_PER_TERM) as Term,
+    fence: (warrant % FENCES_PER_TERM) as Fence,
     notice: notice ?? null,
     tasks,
   };
@@ -160,5 +160,5 @@
 }
 
 /** The answer to a report, in JSON. */
-export const writeOrdersText = (term: Term, fence: Fence, orders: Command[]): string =>
-  JSON.stringify(writeOrders(term, fence, orders));
+export const writeReportAnswerJson = (term: Term, fence: Fence, orders: Command[]): string =>
+  JSON.stringify(writeReportAnswer(term, fence, orders));
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -13,10 +13,10 @@
 } from '../core/types.js';
 
 const amount = z.number().min(0);
-export const jobIdForm = /^wk-\d{1,19}$/;
+export const jobIdPattern = /^wk-\d{1,19}$/;
 
 const submission = z.object({
-  name_id: z.string().regex(jobIdForm),
+  name_id: z.string().regex(jobIdPattern),
   duty: z.string().min(1).max(200),
   desk: z.string().max(200),
   // `service` stands on no page; the operators' own check submits it (docs/questions.md, 1).
@@ -79,10 +79,10 @@
   };
 }
 
-export type Standing = 'queued' | 'running' | 'done' | 'cancelled';
-export const writeStanding = (
+export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
+export const writeJobStatus = (
   id: string,
-  s: Standing,
+  s: JobStatus,
   counts?: { done: number; running: number },
 ): object => ({
   name_id: id,
@@ -91,8 +91,8 @@
 });
 
 /** A worker's token orders terms, and within a term the fences that its leader raised for this worker. */
-export const FENCES = 2 ** 20;
-const token = (term: Term, fence: Fence): number => term * FENCES + fence;
+export const FENCES_PER_TERM = 2 ** 20;
+const token = (term: Term, fence: Fence): number => term * FENCES_PER_TERM + fence;
 
 const writeCommand = (c: Command): object => {
   const shift = `${c.job}/${c.task}`;
@@ -101,16 +101,16 @@
   return { verb: 'clear', shift, try: c.attempt };
 };
 
-export const writeOrders = (term: Term, fence: Fence, orders: Command[]): object => ({
+export const writeReportAnswer = (term: Term, fence: Fence, orders: Command[]): object => ({
   warrant: token(term, fence),
   orders: orders.map(writeCommand),
 });
-export const writeDirect = (term: Term, fence: Fence, session: Session, orders: Command[]): object => ({
+export const writeDirectCall = (term: Term, fence: Fence, session: Session, orders: Command[]): object => ({
   warrant: token(term, fence),
   stint: session,
   orders: orders.map(writeCommand),
 });
-export const writeElsewhere = (leader: string | null): object => (leader ? { steward: leader } : {});
+export const writeRedirect = (leader: string | null): object => (leader ? { steward: leader } : {});
 
 const flavors = z.object({
   breeds: z.array(
@@ -129,7 +129,7 @@
   ),
 });
 
-export function readTypes(body: unknown): MachineType[] {
+export function readMachineTypes(body: unknown): MachineType[] {
   return flavors.parse(body).breeds.map((b) => ({
     name: b.sku,
     cpus: b.cpus,
@@ -144,7 +144,7 @@
   }));
 }
 
-export const writeHire = (h: {
+export const writeRentalRequest = (h: {
   name: string;
   type: string;
   zone: string;
@@ -157,10 +157,10 @@
   loaners: h.spot,
   count: h.n,
 });
-export const writeReturn = (m: readonly MachineId[]): object => ({ mounts: m });
+export const writeReturnRequest = (m: readonly MachineId[]): object => ({ mounts: m });
 
 const names = z.object({ mounts: z.array(z.string()) });
-export const readHired = (body: unknown): MachineId[] => names.parse(body).mounts as MachineId[];
+export const readRentedMachines = (body: unknown): MachineId[] => names.parse(body).mounts as MachineId[];
 
 const list = z.object({
   mounts: z.array(
@@ -176,15 +176,15 @@
   ),
   truncated: z.boolean().nullish(),
 });
-export interface Listed {
+export interface ListedMachine {
   id: MachineId;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
-  age: number;
+  ageSeconds: number;
 }
-export function readList(body: unknown): { machines: Listed[]; more: boolean } {
+export function readMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
   const b = list.parse(body);
   return {
     more: b.truncated ?? false,
@@ -193,26 +193,26 @@
       type: m.breed,
       zone: m.yard,
       spot: m.loaners ?? false,
-      state: m.standing as Listed['state'],
-      age: m.held_s,
+      state: m.standing as ListedMachine['state'],
+      ageSeconds: m.held_s,
     })),
   };
 }
 
 // State service
-export const readTxn = z.object({ ledger: z.number(), failed: z.array(z.string()).nullish() });
-export const readKey = z.object({
+export const transactionSchema = z.object({ ledger: z.number(), failed: z.array(z.string()).nullish() });
+export const keySchema = z.object({
   key: z.string(),
   data: z.unknown(),
   stamp: z.number(),
   tenure: z.number().nullish(),
 });
-export const readKeys = z.object({
+export const keyListSchema = z.object({
   items: z.array(z.object({ key: z.string(), data: z.unknown().optional(), stamp: z.number() })),
   truncated: z.boolean().nullish(),
   ledger: z.number(),
 });
-export const readWatch = z.object({
+export const watchSchema = z.object({
   ledger: z.number(),
   news: z.array(
     z.object({
@@ -223,4 +223,4 @@
     }),
   ),
 });
-export const readLease = z.object({ tenure: z.number() });
+export const leaseSchema = z.object({ tenure: z.number() });
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,54 +1,58 @@
 /** The state service, in this project's words. */
 import type { HttpCall } from '../io/http-client.js';
-import { readKeys, readKey, readLease, readTxn, readWatch } from './schemas.js';
+import { keyListSchema, keySchema, leaseSchema, transactionSchema, watchSchema } from './schemas.js';
 
-export type Stamp = number;
+export type Version = number;
 export type LeaseId = number;
 export type Revision = number;
 
-export interface Item {
+export interface KeyValue {
   key: string;
   value: unknown;
-  stamp: Stamp;
+  version: Version;
 }
 export interface Change {
   key: string;
   /** undefined: removed */
   value: unknown;
   removed: boolean;
-  stamp: Stamp;
+  version: Version;
 }
-export type Op = { put: string; value: unknown; lease?: LeaseId } | { remove: string };
+export type WriteOperation = { put: string; value: unknown; lease?: LeaseId } | { remove: string };
 export interface Guard {
   key: string;
-  stamp: Stamp;
+  stamp: Version;
 }
 
-export type TxnResult =
-  | { r: 'done'; revision: Revision }
-  | { r: 'failed'; keys: string[] }
+export type TransactionResult =
+  | { outcome: 'done'; revision: Revision }
+  | { outcome: 'failed'; keys: string[] }
   /** The service said that it was not carried out. */
-  | { r: 'refused' }
-  | { r: 'no_lease' }
+  | { outcome: 'refused' }
+  | { outcome: 'no_lease' }
   /** It may have been carried out, or may be later. */
-  | { r: 'unknown' };
+  | { outcome: 'unknown' };
 
 /** What a lease's renewal was answered with; unanswered: it may have been carried out, or may be later. */
-export type Renewal = 'ok' | 'ended' | 'refused' | 'unanswered';
+export type RenewalResult = 'ok' | 'ended' | 'refused' | 'unanswered';
 
 /** The usual time for an answer. Whoever can use a later one says so. */
-export const ANSWER_MS = 1200;
+export const ANSWER_TIMEOUT_MS = 1200;
 /** The same for lists, of which each part may be long. */
-export const LIST_MS = 3000;
+export const LIST_TIMEOUT_MS = 3000;
 
 /** The state service, as the actors use it. */
-export class Store {
+export class StateServiceClient {
   constructor(
     private readonly call: HttpCall,
     private readonly address: string,
   ) {}
 
-  async txn(guards: Guard[], ops: Op[], timeoutMs = ANSWER_MS): Promise<TxnResult> {
+  async transact(
+    guards: Guard[],
+    ops: WriteOperation[],
+    timeoutMs = ANSWER_TIMEOUT_MS,
+  ): Promise<TransactionResult> {
     const body = {
       guards,
       apply: ops.map((o) =>
@@ -58,46 +62,46 @@
       ),
     };
     const a = await this.call(this.address, 'POST', '/txn', body, timeoutMs);
-    if (!a) return { r: 'unknown' };
+    if (!a) return { outcome: 'unknown' };
     if (a.status === 200 || a.status === 409) {
-      const t = readTxn.safeParse(a.body);
-      if (!t.success) return { r: 'unknown' };
+      const t = transactionSchema.safeParse(a.body);
+      if (!t.success) return { outcome: 'unknown' };
       return a.status === 200
-        ? { r: 'done', revision: t.data.ledger }
-        : { r: 'failed', keys: t.data.failed ?? [] };
+        ? { outcome: 'done', revision: t.data.ledger }
+        : { outcome: 'failed', keys: t.data.failed ?? [] };
     }
-    if (a.status === 400) return { r: 'no_lease' };
-    return a.status === 429 || a.status === 503 ? { r: 'refused' } : { r: 'unknown' };
+    if (a.status === 400) return { outcome: 'no_lease' };
+    return a.status === 429 || a.status === 503 ? { outcome: 'refused' } : { outcome: 'unknown' };
   }
 
   /** undefined: could not be read; null: no such key. */
   async get(
     key: string,
-    timeoutMs = ANSWER_MS,
-  ): Promise<(Item & { lease: LeaseId | null }) | null | undefined> {
+    timeoutMs = ANSWER_TIMEOUT_MS,
+  ): Promise<(KeyValue & { leaseId: LeaseId | null }) | null | undefined> {
     const a = await this.call(this.address, 'GET', `/kv/${key}`, undefined, timeoutMs);
     if (a?.status === 404) return null;
     if (a?.status !== 200) return undefined;
-    const k = readKey.safeParse(a.body);
+    const k = keySchema.safeParse(a.body);
     if (!k.success) return undefined;
-    return { key: k.data.key, value: k.data.data, stamp: k.data.stamp, lease: k.data.tenure ?? null };
+    return { key: k.data.key, value: k.data.data, version: k.data.stamp, leaseId: k.data.tenure ?? null };
   }
 
   async list(
     prefix: string,
     after: string | null,
-    timeoutMs = LIST_MS,
-  ): Promise<{ items: Item[]; revision: Revision } | undefined> {
-    const items: Item[] = [];
+    timeoutMs = LIST_TIMEOUT_MS,
+  ): Promise<{ items: KeyValue[]; revision: Revision } | undefined> {
+    const items: KeyValue[] = [];
     let revision: Revision | null = null;
     for (let from = after; ;) {
       const q = `/kv?under=${encodeURIComponent(prefix)}${from === null ? '' : `&after=${encodeURIComponent(from)}`}&most=1000`;
       const a = await this.call(this.address, 'GET', q, undefined, timeoutMs);
       if (a?.status !== 200) return undefined;
-      const k = readKeys.safeParse(a.body);
+      const k = keyListSchema.safeParse(a.body);
       if (!k.success) return undefined;
       revision ??= k.data.ledger;
-      for (const i of k.data.items) items.push({ key: i.key, value: i.data, stamp: i.stamp });
+      for (const i of k.data.items) items.push({ key: i.key, value: i.data, version: i.stamp });
       if (!k.data.truncated || k.data.items.length === 0) return { items, revision };
       from = k.data.items[k.data.items.length - 1]!.key;
     }
@@ -112,7 +116,7 @@
     const a = await this.call(this.address, 'GET', q, undefined, waitMs + 3000);
     if (a?.status === 410) return 'too_old';
     if (a?.status !== 200) return undefined;
-    const w = readWatch.safeParse(a.body);
+    const w = watchSchema.safeParse(a.body);
     if (!w.success) return undefined;
     return {
       revision: w.data.ledger,
@@ -120,19 +124,19 @@
         key: n.write ?? n.remove ?? '',
         value: n.data,
         removed: n.write === undefined || n.write === null,
-        stamp: n.stamp,
+        version: n.stamp,
       })),
     };
   }
 
   /** A new lease; undefined: none was made, or its number is not known. */
-  async lease(lifeMs: number, timeoutMs = ANSWER_MS): Promise<LeaseId | undefined> {
+  async grantLease(lifeMs: number, timeoutMs = ANSWER_TIMEOUT_MS): Promise<LeaseId | undefined> {
     const a = await this.call(this.address, 'POST', '/leases', { life_ms: lifeMs }, timeoutMs);
-    const l = a?.status === 200 ? readLease.safeParse(a.body) : undefined;
+    const l = a?.status === 200 ? leaseSchema.safeParse(a.body) : undefined;
     return l?.success ? l.data.tenure : undefined;
   }
 
-  async renew(id: LeaseId, timeoutMs: number): Promise<Renewal> {
+  async renewLease(id: LeaseId, timeoutMs: number): Promise<RenewalResult> {
     const a = await this.call(this.address, 'POST', `/leases/${id}/touch`, {}, timeoutMs);
     if (!a) return 'unanswered';
     if (a.status === 200) return 'ok';
@@ -140,8 +144,8 @@
   }
 
   /** Whether the lease is known to be over. */
-  async endLease(id: LeaseId): Promise<boolean> {
-    const a = await this.call(this.address, 'DELETE', `/leases/${id}`, undefined, ANSWER_MS);
+  async revokeLease(id: LeaseId): Promise<boolean> {
+    const a = await this.call(this.address, 'DELETE', `/leases/${id}`, undefined, ANSWER_TIMEOUT_MS);
     return a?.status === 200 || a?.status === 404;
   }
 }
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer } from '../../src/io/http-client.js';
+import type { HttpResponse } from '../../src/io/http-client.js';
 import type { MachineType } from '../../src/core/types.js';
 import type { Place } from './checker.js';
 import type { VirtualTime } from './clock.js';
@@ -65,7 +65,7 @@
     else m.standing = 'failed';
   }
 
-  handle(method: string, path: string, body: unknown): HttpAnswer {
+  handle(method: string, path: string, body: unknown): HttpResponse {
     const url = new URL(path, 'http://cloud');
     if (this.down) return { status: 503, body: { error: 'trouble' } };
     if (url.pathname === '/flavors')
@@ -108,7 +108,7 @@
     yard: string;
     loaners: boolean;
     count: number;
-  }): HttpAnswer {
+  }): HttpResponse {
     const before = this.answered.get(b.hire);
     if (before) return { status: 200, body: { mounts: before } };
     const key = `${b.breed}|${b.yard}|${b.loaners}`;
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -1,11 +1,11 @@
-import type { HttpAnswer, HttpCall } from '../../src/io/http-client.js';
+import type { HttpResponse, HttpCall } from '../../src/io/http-client.js';
 import type { VirtualTime } from './clock.js';
 
 export type Handler = (
   method: string,
   path: string,
   body: unknown,
-) => HttpAnswer | Promise<HttpAnswer> | null;
+) => HttpResponse | Promise<HttpResponse> | null;
 
 const hostOf = (address: string): string => address.replace(/:.*/, '');
 
@@ -119,7 +119,7 @@
         const calls = this.calls.get(from) ?? { open: 0, most: 0 };
         this.calls.set(from, calls);
         if (address.startsWith('vm-')) calls.most = Math.max(calls.most, ++calls.open);
-        const end = (a: HttpAnswer | null): void => {
+        const end = (a: HttpResponse | null): void => {
           if (!open) return;
           open = false;
           if (address.startsWith('vm-')) calls.open--;
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -3,9 +3,9 @@
 import { ClusterState } from '../../src/core/state.js';
 import { waitingTasks } from '../../src/core/waiting-tasks.js';
 import type { LogEntry, JobId, MachineId, Term } from '../../src/core/types.js';
-import type { HttpAnswer, HttpCall } from '../../src/io/http-client.js';
+import type { HttpResponse, HttpCall } from '../../src/io/http-client.js';
 import { readReport } from '../../src/wire/reports.js';
-import { readJob, writeElsewhere, writeOrders } from '../../src/wire/schemas.js';
+import { readJob, writeRedirect, writeReportAnswer } from '../../src/wire/schemas.js';
 import { Checker, type JobOnWire, type Place } from './checker.js';
 import { VirtualTime } from './clock.js';
 import { createWorkersActor, REPORT_PERIOD_S } from './leading.js';
@@ -254,7 +254,7 @@
       });
   }
 
-  private answerReport(body: unknown, resolve: (answer: HttpAnswer) => void): void {
+  private answerReport(body: unknown, resolve: (answer: HttpResponse) => void): void {
     const report = readReport(JSON.parse(JSON.stringify(body)));
     const term = this.term as Term;
     this.leader.tell({
@@ -263,8 +263,8 @@
       reply: (answer) =>
         resolve(
           answer
-            ? { status: 200, body: writeOrders(term, answer.fence, answer.commands) }
-            : { status: 421, body: writeElsewhere(null) },
+            ? { status: 200, body: writeReportAnswer(term, answer.fence, answer.commands) }
+            : { status: 421, body: writeRedirect(null) },
         ),
     });
   }
@@ -289,7 +289,7 @@
     path: string,
     body: unknown,
     answered: boolean,
-    resolve: (answer: HttpAnswer | null) => void,
+    resolve: (answer: HttpResponse | null) => void,
   ): void {
     if (this.hungUntil > this.time.now)
       return void this.time.after(this.hungUntil - this.time.now, () =>
@@ -297,6 +297,6 @@
       );
     const answer = this.worker.handle(path, JSON.parse(JSON.stringify(body)));
     if (!answered || this.time.now < this.silentUntil) return;
-    this.time.after(ANSWER_MS, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpAnswer));
+    this.time.after(ANSWER_MS, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
   }
 }
--- a/test/fakes/state-service.ts
+++ b/test/fakes/state-service.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer } from '../../src/io/http-client.js';
+import type { HttpResponse } from '../../src/io/http-client.js';
 import type { VirtualTime } from './clock.js';
 
 interface Value {
@@ -80,7 +80,7 @@
     return this.requests.length <= this.limits.rps * 2;
   }
 
-  handle(from: string, method: string, path: string, body: unknown): HttpAnswer | Promise<HttpAnswer> {
+  handle(from: string, method: string, path: string, body: unknown): HttpResponse | Promise<HttpResponse> {
     const url = new URL(path, 'http://state');
     if (this.down || this.refusedTo.has(from)) return { status: 503, body: { error: 'unavailable' } };
     if (!this.rate()) {
@@ -134,7 +134,7 @@
       : { status: 404, body: { ledger: this.ledger } };
   }
 
-  private txn(t: Txn): HttpAnswer {
+  private txn(t: Txn): HttpResponse {
     const now = this.time.now;
     this.writes = this.writes.filter((w) => w.at > now - 1000);
     this.writes.push({ at: now, n: t.apply.length });
@@ -155,7 +155,7 @@
     return { status: 200, body: { ledger: this.ledger } };
   }
 
-  private watch(from: string, url: URL): Promise<HttpAnswer> {
+  private watch(from: string, url: URL): Promise<HttpResponse> {
     const under = url.searchParams.get('under') ?? '';
     const after = Number(url.searchParams.get('after'));
     const until = this.time.now + Number(url.searchParams.get('block_ms') ?? 0);
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,4 +1,4 @@
-import type { HttpAnswer, HttpCall } from '../../src/io/http-client.js';
+import type { HttpResponse, HttpCall } from '../../src/io/http-client.js';
 import type { MachineType } from '../../src/core/types.js';
 import type { Checker, JobOnWire, Place } from './checker.js';
 import type { VirtualTime } from './clock.js';
@@ -179,7 +179,7 @@
     this.schedule(next);
   }
 
-  handle(path: string, body: unknown): HttpAnswer | null {
+  handle(path: string, body: unknown): HttpResponse | null {
     if (!this.alive) return null;
     if (path === '/show') return { status: 200, body: this.body() };
     const b = body as { warrant?: number; stint?: number; orders?: Order[] };
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -6,12 +6,12 @@
 import type { ClusterState } from '../../src/core/state.js';
 import type { LogEntry, JobId, MachineType, Term, WallMs } from '../../src/core/types.js';
 import type { Logger } from '../../src/io/logger.js';
-import type { PeerAnswer, PeerAsk, Peers, PeerStatus } from '../../src/io/peers.js';
-import { Cloud } from '../../src/wire/cloud.js';
+import type { PeerResponse, PeerRequest, Peers, PeerStatus } from '../../src/io/peers.js';
+import { CloudClient } from '../../src/wire/cloud.js';
 import { ReportReader } from '../../src/wire/reports.js';
-import { readJob, writeElsewhere, writeOrders } from '../../src/wire/schemas.js';
+import { readJob, writeRedirect, writeReportAnswer } from '../../src/wire/schemas.js';
 import { readSettings, teamsOf, type Settings } from '../../src/wire/settings.js';
-import { Store } from '../../src/wire/store.js';
+import { StateServiceClient } from '../../src/wire/store.js';
 import { Checker, type JobOnWire } from './checker.js';
 import { FakeCloud } from './cloud.js';
 import { NodeClock, VirtualTime } from './clock.js';
@@ -166,8 +166,8 @@
     const controller = new Controller(
       {
         clock,
-        store: new Store((_a, m, p, b, t) => call(address, m, p, b, t), address),
-        cloud: new Cloud(call, 'cloud:1'),
+        store: new StateServiceClient((_a, m, p, b, t) => call(address, m, p, b, t), address),
+        cloud: new CloudClient(call, 'cloud:1'),
         call,
         random: { intBelow: (n) => uniformInt(rng, 0, n - 1) },
         logger: silent,
@@ -191,8 +191,8 @@
         controller.handleReport(r, (h) =>
           ok(
             h.kind === 'commands'
-              ? { status: 200, body: writeOrders(h.term, h.fence, h.commands) }
-              : { status: 421, body: writeElsewhere(h.leader) },
+              ? { status: 200, body: writeReportAnswer(h.term, h.fence, h.commands) }
+              : { status: 421, body: writeRedirect(h.leader) },
           ),
         ),
       );
@@ -202,17 +202,18 @@
         controller.handlePeerStatus(body as PeerStatus);
         return { status: 200, body: controller.status() };
       }
-      return controller.requests.answerPeer(body as PeerAsk).then((a) => ({ status: 200, body: a }));
+      return controller.requests.answerPeer(body as PeerRequest).then((a) => ({ status: 200, body: a }));
     });
     const known = new Map<string, { status: PeerStatus; at: number }>();
-    const linked = (node: string): boolean => this.time.now - (known.get(node)?.at ?? -Infinity) < 1500;
+    const isConnected = (node: string): boolean => this.time.now - (known.get(node)?.at ?? -Infinity) < 1500;
     const peers: Peers = {
       ask: async (node, ask) =>
-        !linked(node)
+        !isConnected(node)
           ? null
-          : (((await call(`${node}:81`, 'POST', '/ask', ask, 1500))?.body as PeerAnswer | undefined) ?? null),
-      linked,
-      statuses: () => [...known.values()].map((k) => ({ status: k.status, age: this.time.now - k.at })),
+          : (((await call(`${node}:81`, 'POST', '/ask', ask, 1500))?.body as PeerResponse | undefined) ??
+            null),
+      isConnected,
+      statuses: () => [...known.values()].map((k) => ({ status: k.status, ageMs: this.time.now - k.at })),
     };
     const gossip = (): void => {
       clock.after(500, gossip);
--- a/test/giving-way.test.ts
+++ b/test/giving-way.test.ts
@@ -8,7 +8,7 @@
 } from '../src/actors/state-service-doubt.js';
 import { WorkerReachability } from '../src/actors/worker-reach.js';
 import type { Term } from '../src/core/types.js';
-import { isSoundStatus, type HeardStatus, type PeerStatus } from '../src/io/peers.js';
+import { isValidStatus, type ReceivedStatus, type PeerStatus } from '../src/io/peers.js';
 import { readReachClaim, type ReachClaim } from '../src/wire/keys.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { silent } from './fakes/world.js';
@@ -16,7 +16,7 @@
 const LIFE_MS = 2000;
 const TERM = 7 as Term;
 
-const peer = (over: Partial<PeerStatus> = {}, age = 100): HeardStatus => ({
+const peer = (over: Partial<PeerStatus> = {}, ageMs = 100): ReceivedStatus => ({
   status: {
     ...{
       node: 'n1',
@@ -30,14 +30,14 @@
     ...{ remembersMs: 1e6, workers: 0, stateAge: 100, reachesState: true, inDoubt: false, gaveWay: false },
     ...over,
   },
-  age,
+  ageMs,
 });
 
 /** Checks each quarter of a second for so long; the reason and when it came, or null. */
 const checkFor = async (
   ms: number,
   progress: (now: number) => HolderProgress,
-  peers: (now: number) => HeardStatus[],
+  peers: (now: number) => ReceivedStatus[],
 ): Promise<{ why: string; at: number } | null> => {
   const time = new VirtualTime();
   const doubt = new StateServiceMonitor(new NodeClock(time, 1, 0), silent, LIFE_MS);
@@ -61,7 +61,7 @@
   });
 
   it('keeps the lock while no peer is answered, is heard, or is any better', async () => {
-    const none: (() => HeardStatus[])[] = [
+    const none: (() => ReceivedStatus[])[] = [
       () => [],
       () => [peer({ reachesState: false })],
       () => [peer({}, 2000)],
@@ -71,13 +71,13 @@
   });
 
   it('keeps it while a peer is answered now and then only', async () => {
-    const flickers = (now: number): HeardStatus[] => [peer({ reachesState: now % 1500 < 1000 })];
+    const flickers = (now: number): ReceivedStatus[] => [peer({ reachesState: now % 1500 < 1000 })];
     expect(await checkFor(HALF_A_MINUTE, late, flickers)).toBeNull();
   });
 
   it('keeps it through a full outage that ends for a peer a moment earlier', async () => {
     const progress = (now: number): HolderProgress => late(now < 10_700 ? now : now - 10_700);
-    const peers = (now: number): HeardStatus[] => [peer({ reachesState: now >= 10_000 })];
+    const peers = (now: number): ReceivedStatus[] => [peer({ reachesState: now >= 10_000 })];
     expect(await checkFor(11_500, progress, peers)).toBeNull();
   });
 });
@@ -107,7 +107,7 @@
   const givenWithin = async (
     ms: number,
     { time, worker }: ReturnType<typeof reach>,
-    peers: () => HeardStatus[],
+    peers: () => ReceivedStatus[],
   ): Promise<{ why: string; at: number } | null> => {
     for (; time.now < ms; await time.run(250)) {
       const why = await worker.check(TERM, peers());
@@ -124,7 +124,7 @@
   });
 
   it('keeps the lock without such a peer: none asked, sent nowhere, silent, or gone', async () => {
-    const none: (() => HeardStatus[])[] = [
+    const none: (() => ReceivedStatus[])[] = [
       () => [peer(), other],
       () => [peer({ workers: 3, leaderTerm: TERM - 1 }), other],
       () => [peer({ workers: 3 }, 4000), other],
@@ -134,16 +134,16 @@
   });
 
   it('cut off from its peers hands over to one that goes on claiming in the state service', async () => {
-    let stamp = 10;
-    const claims = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, stamp: ++stamp }];
+    let version = 10;
+    const claims = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version: ++version }];
     expect((await givenWithin(HALF_A_MINUTE, reach(claims), () => []))?.why).toContain('get through');
   });
 
   it('takes an old claim, one of another term, or one read once for nothing', async () => {
-    let stamp = 10;
-    const old = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, stamp }];
+    let version = 10;
+    const old = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version }];
     expect(await givenWithin(HALF_A_MINUTE, reach(old), () => [])).toBeNull();
-    const ofAnother = (): ReachClaim[] => [{ node: 'n1', term: TERM - 1, workers: 2, stamp: ++stamp }];
+    const ofAnother = (): ReachClaim[] => [{ node: 'n1', term: TERM - 1, workers: 2, version: ++version }];
     expect(await givenWithin(HALF_A_MINUTE, reach(ofAnother), () => [])).toBeNull();
   });
 });
@@ -161,7 +161,7 @@
   });
 
   it('of a status make it say nothing', () => {
-    expect(isSoundStatus(peer().status)).toBe(true);
+    expect(isValidStatus(peer().status)).toBe(true);
     const bad: Partial<PeerStatus>[] = [
       { term: NaN },
       { term: -1 },
@@ -172,13 +172,13 @@
       { stateAge: NaN },
       { workers: -1 },
     ];
-    for (const over of bad) expect(isSoundStatus(peer(over).status)).toBe(false);
+    for (const over of bad) expect(isValidStatus(peer(over).status)).toBe(false);
   });
 
   it('of a claim are none', () => {
     for (const value of [null, 'x', { term: 1 }, { term: 1, workers: 0 }, { term: -1, workers: 1 }])
-      expect(readReachClaim({ key: 'q/reach/n1', value, stamp: 1 })).toBeNull();
-    const read = readReachClaim({ key: 'q/reach/n1', value: { term: 1, workers: 2 }, stamp: 3 });
-    expect(read).toEqual({ node: 'n1', term: 1, workers: 2, stamp: 3 });
+      expect(readReachClaim({ key: 'q/reach/n1', value, version: 1 })).toBeNull();
+    const read = readReachClaim({ key: 'q/reach/n1', value: { term: 1, workers: 2 }, version: 3 });
+    expect(read).toEqual({ node: 'n1', term: 1, workers: 2, version: 3 });
   });
 });
--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -2,9 +2,9 @@
 import net from 'node:net';
 import type { AddressInfo } from 'node:net';
 import { afterEach, describe, expect, it } from 'vitest';
-import { httpCaller } from '../src/io/http-client.js';
+import { createHttpCall } from '../src/io/http-client.js';
 import { MalformedMessageError, parseHead, ResponseReader } from '../src/io/http-message.js';
-import { Metrics, processFigures } from '../src/io/metrics.js';
+import { Metrics, processMetrics } from '../src/io/metrics.js';
 import { WorkerConnection } from '../src/io/worker-connection.js';
 import { ReportReader, readReport } from '../src/wire/reports.js';
 
@@ -105,7 +105,7 @@
     listening(net.createServer((socket) => socket.on('data', () => write(socket)).on('error', () => {})));
 
   it('read bodies by length, in chunks, and up to the end of the connection', async () => {
-    const call = httpCaller();
+    const call = createHttpCall();
     const byLength = await answering((s) => s.write('HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n{"a":1}'));
     const inChunks = await answering((s) => {
       s.write('HTTP/1.1 409 No\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{"a\r\n');
@@ -125,7 +125,7 @@
     });
     server.on('connection', () => connections++);
     const address = await listening(server);
-    const call = httpCaller();
+    const call = createHttpCall();
     for (let i = 0; i < 3; i++) await call(address, 'GET', '/', undefined, 1000);
     expect(connections).toBe(1);
     silent = true;
@@ -141,13 +141,13 @@
     const server = http.createServer((_request, response) => response.end('{}'));
     server.on('connection', () => connections++);
     const address = await listening(server);
-    const call = httpCaller(() => false);
+    const call = createHttpCall(() => false);
     for (let i = 0; i < 2; i++) await call(address, 'GET', '/', undefined, 1000);
     expect(connections).toBe(2);
   });
 
   it('answer null when the connection is refused or breaks off', async () => {
-    const call = httpCaller();
+    const call = createHttpCall();
     expect(await call('127.0.0.1:1', 'GET', '/', undefined, 1000)).toBeNull();
     const breaking = await answering((s) => s.end('HTTP/1.1 200 OK\r\ncontent-length: 7\r\n\r\n{"a'));
     expect(await call(breaking, 'GET', '/', undefined, 1000)).toBeNull();
@@ -202,10 +202,10 @@
 
 describe('metrics', () => {
   it('name times, processor time and memory', () => {
-    const figures = processFigures() as { processorMs: { user: number }; memoryMb: Record<string, number> };
+    const figures = processMetrics() as { processorMs: { user: number }; memoryMb: Record<string, number> };
     const metrics = new Metrics();
     for (const ms of [0.2, 3, 5, 200_000]) metrics.measure('round', ms);
-    expect(metrics.show().round_ms).toMatchObject({ count: 4, p50: 3 });
+    expect(metrics.summarize().round_ms).toMatchObject({ count: 4, p50: 3 });
     expect(figures.processorMs.user).toBeGreaterThan(0);
     expect(figures.memoryMb.resident).toBeGreaterThan(figures.memoryMb.heapUsed!);
   });
--- a/test/lease.test.ts
+++ b/test/lease.test.ts
@@ -2,19 +2,19 @@
 import { RenewedLease } from '../src/actors/lease.js';
 import { HedgedTransaction } from '../src/actors/write-copies.js';
 import type { SteadyMs } from '../src/core/types.js';
-import type { Renewal, Store, TxnResult } from '../src/wire/store.js';
+import type { RenewalResult, StateServiceClient, TransactionResult } from '../src/wire/store.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { silent } from './fakes/world.js';
 
 const LIFE_MS = 4000;
 
 /** A lease whose renewals are answered as told. */
-const keptLease = (answer: () => { ms: number; renewal: Renewal }) => {
+const keptLease = (answer: () => { ms: number; renewal: RenewalResult }) => {
   const time = new VirtualTime();
   const seen = { open: 0, mostOpen: 0, renewals: 0, ended: 0, endRequests: 0 };
   const store = {
-    renew: (_id: number, timeoutMs: number) =>
-      new Promise<Renewal>((resolve) => {
+    renewLease: (_id: number, timeoutMs: number) =>
+      new Promise<RenewalResult>((resolve) => {
         const { ms, renewal } = answer();
         seen.renewals++;
         seen.mostOpen = Math.max(seen.mostOpen, ++seen.open);
@@ -23,11 +23,11 @@
           resolve(ms > timeoutMs ? 'unanswered' : renewal);
         });
       }),
-    endLease: () => Promise.resolve(++seen.endRequests === 3),
+    revokeLease: () => Promise.resolve(++seen.endRequests === 3),
   };
   const lease = new RenewedLease({
     ...{
-      store: store as never as Store,
+      store: store as never as StateServiceClient,
       clock: new NodeClock(time, 1, 0),
       logger: silent,
       measure: () => {},
@@ -90,7 +90,7 @@
 });
 
 describe('the copies of a write', () => {
-  const copies = (answers: { ms: number; result: TxnResult }[]) => {
+  const copies = (answers: { ms: number; result: TransactionResult }[]) => {
     const time = new VirtualTime();
     const sent: number[] = [];
     const write = new HedgedTransaction(new NodeClock(time, 1, 0), () => {
@@ -100,10 +100,10 @@
     });
     return { time, sent, write };
   };
-  const done: TxnResult = { r: 'done', revision: 7 };
-  const unknown: TxnResult = { r: 'unknown' };
-  const taken = async (time: VirtualTime, next: Promise<TxnResult>): Promise<TxnResult> => {
-    let result: TxnResult | null = null;
+  const done: TransactionResult = { outcome: 'done', revision: 7 };
+  const unknown: TransactionResult = { outcome: 'unknown' };
+  const taken = async (time: VirtualTime, next: Promise<TransactionResult>): Promise<TransactionResult> => {
+    let result: TransactionResult | null = null;
     void next.then((r) => (result = r));
     await time.until(() => result !== null, 10_000);
     return result!;
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -7,7 +7,7 @@
 import { ClusterState } from '../src/core/state.js';
 import type { LogEntry, MachineId, WallMs } from '../src/core/types.js';
 import { chunkKey } from '../src/wire/keys.js';
-import { Store } from '../src/wire/store.js';
+import { StateServiceClient } from '../src/wire/store.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { FakeStateService } from './fakes/state-service.js';
 import { box, silent, write } from './fakes/world.js';
@@ -23,7 +23,7 @@
     const time = new VirtualTime();
     const service = new FakeStateService(time, limits);
     const transactions: number[] = [];
-    const store = new Store((_a, method, path, body) => {
+    const store = new StateServiceClient((_a, method, path, body) => {
       if (path === '/txn') transactions.push((body as { apply: unknown[] }).apply.length);
       return new Promise((ok) =>
         time.after(10, () => void Promise.resolve(service.handle('n', method, path, body)).then(ok)),
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { addressProblem, hostPort } from '../src/io/address.js';
+import { addressProblem, parseHostPort } from '../src/io/address.js';
 import { readSettings } from '../src/wire/settings.js';
 import { settingsFor } from './fakes/world.js';
 
@@ -13,7 +13,7 @@
       '127.0.0.1:0',
     ])
       expect(addressProblem(good)).toBeNull();
-    expect(hostPort('[fe80::2]:8081')).toEqual({ host: 'fe80::2', port: 8081 });
+    expect(parseHostPort('[fe80::2]:8081')).toEqual({ host: 'fe80::2', port: 8081 });
   });
 
   it('say what was expected', () => {
--- a/test/stored-data.test.ts
+++ b/test/stored-data.test.ts
@@ -11,7 +11,13 @@
 import { dumpState } from '../src/core/state-dump.js';
 import type { ClusterState } from '../src/core/state.js';
 import type { LogRecord } from '../src/core/types.js';
-import { chunkKey, HEAD, recordOf, RECORDS, type HeadValue } from '../src/wire/keys.js';
+import {
+  chunkKey,
+  SNAPSHOT_HEAD_KEY,
+  recordNumberOf,
+  RECORD_PREFIX,
+  type SnapshotHead,
+} from '../src/wire/keys.js';
 import { startWorld } from './fakes/scenarios.js';
 
 interface Stored {
@@ -24,7 +30,7 @@
   readFileSync(new URL('./fixtures/stored-data.json', import.meta.url), 'utf8'),
 ) as Stored;
 const keys = new Map(Object.entries(stored.keys));
-const head = keys.get(HEAD) as HeadValue;
+const head = keys.get(SNAPSHOT_HEAD_KEY) as SnapshotHead;
 
 /** A state in the form in which a snapshot holds it. */
 const asJson = (state: ClusterState): unknown => JSON.parse(JSON.stringify(dumpState(state)));
@@ -43,14 +49,14 @@
   it('records of every kind lead to the same state', () => {
     const state = stateFromChunks(keys, head)!;
     const records = [...keys]
-      .filter(([key]) => key.startsWith(RECORDS))
+      .filter(([key]) => key.startsWith(RECORD_PREFIX))
       .map(([key, value]) => ({ key, value }));
-    records.sort((a, b) => recordOf(a.key) - recordOf(b.key));
+    records.sort((a, b) => recordNumberOf(a.key) - recordNumberOf(b.key));
     const kinds = new Set<string>();
     for (const { key, value } of records) {
       const record = value as LogRecord;
       for (const entry of record.entries) kinds.add(entry.e);
-      if (recordOf(key) > head.upto) state.apply(recordOf(key), record);
+      if (recordNumberOf(key) > head.upto) state.apply(recordNumberOf(key), record);
     }
     expect([...kinds].sort()).toEqual(
       ['drop', 'end', 'gone', 'hire', 'hired', 'job', 'mark', 'start', 'stop', 'up', 'withdraw'].sort(),
--- a/test/wire.test.ts
+++ b/test/wire.test.ts
@@ -4,8 +4,8 @@
 import type { UserRequests } from '../src/actors/user-requests.js';
 import { retryLater } from '../src/actors/admission.js';
 import { realClock } from '../src/io/clock.js';
-import { PeerLinks, type PeerAsk, type PeerStatus } from '../src/io/peers.js';
-import { server } from '../src/io/server.js';
+import { PeerLinks, type PeerRequest, type PeerStatus } from '../src/io/peers.js';
+import { createApiServer } from '../src/io/server.js';
 import { readSettings } from '../src/wire/settings.js';
 import { settingsFor, silent, World } from './fakes/world.js';
 
@@ -17,7 +17,7 @@
 describe('the HTTP interface, over loopback', () => {
   const open = async (answer: UserRequests['answer']): Promise<string> => {
     const c = { requests: { answer }, isReady: () => true } as unknown as Controller;
-    const s = server(
+    const s = createApiServer(
       c,
       () => ({}),
       silent,
@@ -100,7 +100,7 @@
     });
     const heard: PeerStatus[] = [];
     const answers: number[] = [];
-    const asked: PeerAsk[] = [];
+    const asked: PeerRequest[] = [];
     const free = async (): Promise<number> => {
       const { createServer } = await import('node:net');
       const s = createServer();
--- a/test/workers.test.ts
+++ b/test/workers.test.ts
@@ -2,7 +2,7 @@
 import type { WorkersActor } from '../src/actors/workers.js';
 import { ClusterState } from '../src/core/state.js';
 import type { LogEntry, MachineId, WorkerReport } from '../src/core/types.js';
-import type { HttpAnswer, HttpCall } from '../src/io/http-client.js';
+import type { HttpResponse, HttpCall } from '../src/io/http-client.js';
 import { readReport } from '../src/wire/reports.js';
 import { VirtualTime } from './fakes/clock.js';
 import { createWorkersActor } from './fakes/leading.js';
@@ -29,7 +29,7 @@
   for (const m of ids)
     write(state, [{ e: 'up', m, addr: `${m}:1`, type: 'box', zone: 'a', spot: false, s: 1 as never }]);
   const calls = { open: 0, most: 0, reached: new Map<string, number>() };
-  const call = (address: string): Promise<HttpAnswer | null> => {
+  const call = (address: string): Promise<HttpResponse | null> => {
     calls.most = Math.max(calls.most, ++calls.open);
     calls.reached.set(address, (calls.reached.get(address) ?? 0) + 1);
     return new Promise((ok) =>
--- a/tools/profile/main.ts
+++ b/tools/profile/main.ts
@@ -8,7 +8,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parseArgs } from 'node:util';
-import { httpCaller } from '../../src/io/http-client.js';
+import { createHttpCall } from '../../src/io/http-client.js';
 import type { JobOnWire } from '../../test/fakes/checker.js';
 import { timeByFunction, timeByPart, type PartTime, type SampledProfile } from './parts.js';
 import { NODES, StandIns, nodeAddress, settingsOf, type DeploymentSize } from './stand-ins.js';
@@ -44,7 +44,7 @@
 }
 
 const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
-const call = httpCaller();
+const call = createHttpCall();
 
 const { values: options } = parseArgs({
   options: {
--- a/tools/profile/stand-ins.ts
+++ b/tools/profile/stand-ins.ts
@@ -3,7 +3,7 @@
  * deployment in real time, for programs that are measured as they are.
  */
 import http from 'node:http';
-import { httpCaller, type HttpAnswer } from '../../src/io/http-client.js';
+import { createHttpCall, type HttpResponse } from '../../src/io/http-client.js';
 import type { MachineType } from '../../src/core/types.js';
 import { readSettings, teamsOf, type Settings } from '../../src/wire/settings.js';
 import { Checker } from '../../test/fakes/checker.js';
@@ -69,7 +69,7 @@
   path: string,
   body: unknown,
   host: string,
-) => HttpAnswer | null | Promise<HttpAnswer | null>;
+) => HttpResponse | null | Promise<HttpResponse | null>;
 
 function listen(address: string, handle: Handle): http.Server {
   const [host, port] = address.split(':');
@@ -142,7 +142,7 @@
   private bootWorker(place: ConstructorParameters<typeof FakeWorker>[0]): FakeWorker {
     const number = Number(place.id.replace(/\D/g, ''));
     const host = `127.9.${Math.floor(number / 250)}.${(number % 250) + 1}`;
-    const worker = new FakeWorker({ ...place }, `${host}:${WORKER_PORT}`, httpCaller(), {
+    const worker = new FakeWorker({ ...place }, `${host}:${WORKER_PORT}`, createHttpCall(), {
       time: this.time,
       random: Math.random,
       checker: this.checker,
