--- a/src/core/state-dump.ts
+++ b/src/core/state-dump.ts
@@ -1,9 +1,12 @@
-/** A state as JSON and back, for snapshots. */
+/** Conversion of the cluster state to JSON and back, for snapshots. */
 import type { RentalRequest, Job } from './model.js';
 import { ClusterState } from './state.js';
 import type { JobId, MachineType } from './types.js';
 
-/** Everything but the derived counts, ready for JSON; a copy, which later records don't change. */
+/**
+ * A copy of the state for JSON, without the counts that loadState() derives; later records don't change it.
+ * Its keys, and those of the jobs, machines and rental requests in it, are the stored format.
+ */
 export function dumpState(state: ClusterState): Record<string, unknown> {
   return {
     next: state.nextRecord,
@@ -12,23 +15,23 @@
     types: [...state.machineTypes.values()],
     hires: [...state.pendingRentals.values()],
     gone: [...state.removedMachines],
-    finals: [...state.outcomes].map(([id, f]) => [id, f.state === 'done' ? 1 : 0, f.done]),
-    machines: [...state.machines.values()].map((m) => ({
-      ...m,
+    finals: [...state.outcomes].map(([id, outcome]) => [id, outcome.state === 'done' ? 1 : 0, outcome.done]),
+    machines: [...state.machines.values()].map((machine) => ({
+      ...machine,
       live: undefined,
       stopping: undefined,
       changes: undefined,
       cpus: undefined,
       gpus: undefined,
       mem: undefined,
-      images: [...m.images],
+      images: [...machine.images],
     })),
-    jobs: [...state.jobs.values()].map((j) => ({
-      ...j,
-      back: [...j.back],
-      errorMachines: [...j.errorMachines],
-      places: [...j.places],
-      live: [...j.live.values()].map((l) => [
+    jobs: [...state.jobs.values()].map((job) => ({
+      ...job,
+      back: [...job.back],
+      errorMachines: [...job.errorMachines],
+      places: [...job.places],
+      live: [...job.live.values()].map((l) => [
         l.task,
         l.attempt,
         l.machine.id,
@@ -40,43 +43,43 @@
   };
 }
 
-/** The state that `dumpState` gave. */
+/** The state of which dumpState() gave this copy. */
 export function loadState(raw: unknown): ClusterState {
-  // eslint-disable-next-line @typescript-eslint/no-explicit-any -- our own dump, read back
+  // eslint-disable-next-line @typescript-eslint/no-explicit-any -- written by dumpState
   const d = raw as any;
-  const s = new ClusterState();
-  s.nextRecord = d.next;
-  s.processedUpTo = d.marked;
-  s.nextJobOrder = d.orders;
-  s.machineTypes = new Map(d.types.map((t: MachineType) => [t.name, t]));
-  s.pendingRentals = new Map(d.hires.map((h: RentalRequest) => [h.name, h]));
-  s.removedMachines = new Set(d.gone);
-  s.outcomes = new Map(
+  const state = new ClusterState();
+  state.nextRecord = d.next;
+  state.processedUpTo = d.marked;
+  state.nextJobOrder = d.orders;
+  state.machineTypes = new Map(d.types.map((type: MachineType) => [type.name, type]));
+  state.pendingRentals = new Map(d.hires.map((rental: RentalRequest) => [rental.name, rental]));
+  state.removedMachines = new Set(d.gone);
+  state.outcomes = new Map(
     d.finals.map(([id, f, done]: [JobId, number, number]) => [id, { state: f ? 'done' : 'cancelled', done }]),
   );
-  for (const m of d.machines)
-    s.machines.set(m.id, {
-      ...m,
+  for (const machine of d.machines)
+    state.machines.set(machine.id, {
+      ...machine,
       live: new Set(),
       stopping: 0,
       changes: 0,
       cpus: 0,
       gpus: 0,
       mem: 0,
-      images: new Map(m.images),
+      images: new Map(machine.images),
     });
-  for (const j of d.jobs) {
+  for (const dumped of d.jobs) {
     const job: Job = {
-      ...j,
-      back: new Map(j.back),
-      errorMachines: new Set(j.errorMachines),
-      places: j.places ?? [],
+      ...dumped,
+      back: new Map(dumped.back),
+      errorMachines: new Set(dumped.errorMachines),
+      places: dumped.places ?? [],
       live: new Map(),
     };
-    s.jobs.set(job.spec.id, job);
-    for (const [task, attempt, mid, session, at, stop] of j.live) {
-      s.addAttempt({ job, task, attempt, machine: s.machines.get(mid)!, session, startedAt: at, stop });
+    state.jobs.set(job.spec.id, job);
+    for (const [task, attempt, id, session, startedAt, stop] of dumped.live) {
+      state.addAttempt({ job, task, attempt, machine: state.machines.get(id)!, session, startedAt, stop });
     }
   }
-  return s;
+  return state;
 }
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -3,14 +3,16 @@
 import type { AttemptNumber, EndCause, JobId, JobSpec, LogEntry, LogRecord } from './types.js';
 import type { MachineId, MachineType, RecordNumber, Session, WallMs } from './types.js';
 
-const num = (m: MachineId): number => Number(m.replace(/^\D+/, ''));
+/** The number in a machine's id; a lower one is taken to be older. */
+const numberOf = (id: MachineId): number => Number(id.replace(/^\D+/, ''));
 
 /**
- * What the log says. Only apply() changes it, on the leader, on followers and in replay alike;
- * it uses nothing but the record, so that all of them come to the same state.
+ * The replicated state machine: the leader, its followers and a replay change it by apply() alone, which uses
+ * nothing but the record, so that all of them reach the same state.
  */
 export class ClusterState {
   nextRecord = 1 as RecordNumber;
+  /** Workers' reports show the commands of all records up to this one to be carried out. */
   processedUpTo = 0;
   jobs = new Map<JobId, Job>();
   outcomes = new Map<JobId, JobOutcome>();
@@ -18,84 +20,85 @@
   pendingRentals = new Map<string, RentalRequest>();
   machineTypes = new Map<string, MachineType>();
   teamUsage = new Map<string, { cpus: number; gpus: number }>();
+  /** Machines that a late entry or report must not bring back. */
   removedMachines = new Set<MachineId>();
   nextJobOrder = 0;
 
-  apply(no: RecordNumber, rec: LogRecord): void {
-    if (no !== this.nextRecord) throw new Error(`record ${no} applied where ${this.nextRecord} is due`);
-    for (const e of rec.entries) this.entry(e, rec.at);
-    this.nextRecord = (no + 1) as RecordNumber;
+  apply(number: RecordNumber, record: LogRecord): void {
+    if (number !== this.nextRecord) throw new Error(`record ${number} applied, expected ${this.nextRecord}`);
+    for (const entry of record.entries) this.applyEntry(entry, record.at);
+    this.nextRecord = (number + 1) as RecordNumber;
   }
 
-  private entry(e: LogEntry, at: WallMs): void {
-    switch (e.e) {
+  private applyEntry(entry: LogEntry, at: WallMs): void {
+    switch (entry.e) {
       case 'job':
-        return this.addJob(e.spec, at);
+        return this.addJob(entry.spec, at);
       case 'withdraw':
-        return this.withdraw(e.job, at);
+        return this.cancelJob(entry.job, at);
       case 'up':
-        return this.up(e, at);
+        return this.registerWorker(entry, at);
       case 'start':
-        for (const [task, attempt, m] of e.p) this.start(e.job, task, attempt as AttemptNumber, m, at);
+        for (const [task, attempt, machine] of entry.p)
+          this.startAttempt(entry.job, task, attempt as AttemptNumber, machine, at);
         return;
       case 'stop':
-        return this.stop(e, at);
+        return this.stopAttempts(entry, at);
       case 'end':
-        for (const [job, task, attempt, cause, saved] of e.p)
-          this.end(job, task, attempt as AttemptNumber, cause, saved, at);
+        for (const [job, task, attempt, cause, saved] of entry.p)
+          this.endAttempt(job, task, attempt as AttemptNumber, cause, saved, at);
         return;
       case 'hire':
-        this.pendingRentals.set(e.name, {
-          name: e.name,
-          type: e.type,
-          zone: e.zone,
-          spot: e.spot,
-          n: e.n,
+        this.pendingRentals.set(entry.name, {
+          name: entry.name,
+          type: entry.type,
+          zone: entry.zone,
+          spot: entry.spot,
+          n: entry.n,
           at,
         });
         return;
       case 'hired': {
-        const h = this.pendingRentals.get(e.name);
-        if (!h) return;
-        this.pendingRentals.delete(e.name);
-        // From the answer on: the request may have been repeated for long, and a machine is not late
-        // to boot because the cloud was late to answer.
-        for (const m of e.m)
-          if (!this.machines.has(m) && !this.removedMachines.has(m)) this.machine(m, h, at);
+        const rental = this.pendingRentals.get(entry.name);
+        if (!rental) return;
+        this.pendingRentals.delete(entry.name);
+        // Boot time counts from the answer: the cloud may have answered only after many repetitions.
+        for (const id of entry.m)
+          if (!this.machines.has(id) && !this.removedMachines.has(id)) this.addMachine(id, rental, at);
         return;
       }
       case 'drop':
-        for (const id of e.m) {
-          const m = this.machines.get(id);
-          if (!m) continue;
-          m.drop ??= e.why;
-          m.changes++;
+        for (const id of entry.m) {
+          const machine = this.machines.get(id);
+          if (!machine) continue;
+          machine.drop ??= entry.why;
+          machine.changes++;
         }
         return;
       case 'gone':
-        for (const id of e.m) this.remove(id, at);
+        for (const id of entry.m) this.removeMachine(id, at);
         return;
       case 'types':
-        this.machineTypes = new Map(e.types.map((t) => [t.name, t]));
+        this.machineTypes = new Map(entry.types.map((type) => [type.name, type]));
         return;
       case 'mark':
-        this.processedUpTo = Math.max(this.processedUpTo, e.upto);
+        this.processedUpTo = Math.max(this.processedUpTo, entry.upto);
         return;
     }
   }
 
-  private machine(
+  private addMachine(
     id: MachineId,
-    of: { type: string; zone: string; spot: boolean },
+    offer: { type: string; zone: string; spot: boolean },
     hiredAt: WallMs,
     addr = '',
   ): Machine {
-    const m: Machine = {
+    const machine: Machine = {
       id,
       addr,
-      type: of.type,
-      zone: of.zone,
-      spot: of.spot,
+      type: offer.type,
+      zone: offer.zone,
+      spot: offer.spot,
       session: 0 as Session,
       hiredAt,
       upAt: hiredAt,
@@ -110,8 +113,8 @@
       gpus: 0,
       mem: 0,
     };
-    this.machines.set(id, m);
-    return m;
+    this.machines.set(id, machine);
+    return machine;
   }
 
   private addJob(spec: JobSpec, at: WallMs): void {
@@ -134,98 +137,100 @@
     });
   }
 
-  private withdraw(id: JobId, at: WallMs): void {
+  private cancelJob(id: JobId, at: WallMs): void {
     const job = this.jobs.get(id);
-    // A job that is done stays done: went_back.
+    // Upholds went_back: a job that is done stays done.
     if (!job || this.outcomes.has(id)) return;
     job.withdrawn = true;
-    // Guards ran_cancelled: what may be on a machine is stopped at once, without grace.
-    for (const l of job.live.values()) {
-      if (!l.stop) l.machine.stopping++;
-      l.stop = { grace: 0, at, why: JOB_CANCELLED };
-      l.machine.changes++;
+    // Upholds ran_cancelled: every attempt that may be on a machine is stopped at once, without grace.
+    for (const attempt of job.live.values()) {
+      if (!attempt.stop) attempt.machine.stopping++;
+      attempt.stop = { grace: 0, at, why: JOB_CANCELLED };
+      attempt.machine.changes++;
     }
     this.outcomes.set(id, { state: 'cancelled', done: job.done });
-    this.tidy(job);
+    this.removeIfOver(job);
   }
 
-  private up(e: Extract<LogEntry, { e: 'up' }>, at: WallMs): void {
-    if (this.removedMachines.has(e.m)) return;
-    const m = this.machines.get(e.m) ?? this.machine(e.m, e, at, e.addr);
-    if (e.s <= m.session) return;
-    if (m.session === 0) m.upAt = at;
-    m.addr = e.addr;
-    m.type = e.type;
-    m.zone = e.zone;
-    m.spot = e.spot;
-    m.session = e.s;
-    m.changes++;
+  private registerWorker(entry: Extract<LogEntry, { e: 'up' }>, at: WallMs): void {
+    if (this.removedMachines.has(entry.m)) return;
+    const machine = this.machines.get(entry.m) ?? this.addMachine(entry.m, entry, at, entry.addr);
+    if (entry.s <= machine.session) return;
+    if (machine.session === 0) machine.upAt = at;
+    machine.addr = entry.addr;
+    machine.type = entry.type;
+    machine.zone = entry.zone;
+    machine.spot = entry.spot;
+    machine.session = entry.s;
+    machine.changes++;
     // A worker in a later session has killed all tasks of the earlier ones.
-    for (const l of [...m.live])
-      if (l.session < e.s) this.end(l.job.spec.id, l.task, l.attempt, 'lost', false, at);
-    m.images.clear();
+    for (const old of [...machine.live])
+      if (old.session < entry.s) this.endAttempt(old.job.spec.id, old.task, old.attempt, 'lost', false, at);
+    machine.images.clear();
   }
 
-  /** Whether this start may be: decisions and replay ask the same question. */
+  /** Whether a task may start with this attempt; decisions and apply() check the same. */
   canStart(job: Job, task: number, attempt: number): boolean {
     if (job.withdrawn || task >= job.spec.tasks || job.live.has(task)) return false;
-    // Guards ran_twice and not_done: a task starts only while nothing of it may be anywhere.
+    // Upholds ran_twice and not_done: a task starts only while no attempt of it may be on a machine.
     if (job.spec.gang) return attempt === job.gangTry && !job.broken;
-    const again = job.back.get(task);
-    return again === undefined ? task >= job.fresh && attempt === 1 : attempt === again;
+    const nextAttempt = job.back.get(task);
+    return nextAttempt === undefined ? task >= job.fresh && attempt === 1 : attempt === nextAttempt;
   }
 
-  private start(id: JobId, task: number, attempt: AttemptNumber, mid: MachineId, at: WallMs): void {
+  private startAttempt(id: JobId, task: number, attempt: AttemptNumber, on: MachineId, at: WallMs): void {
     const job = this.jobs.get(id);
-    const m = this.machines.get(mid);
-    if (!job || !m || !isAvailable(m) || !this.canStart(job, task, attempt)) return;
+    const machine = this.machines.get(on);
+    if (!job || !machine || !isAvailable(machine) || !this.canStart(job, task, attempt)) return;
     if (!job.spec.gang) {
       if (!job.back.delete(task)) {
         // Tasks skipped over can still start.
-        for (let i = job.fresh; i < task; i++) job.back.set(i, 1);
+        for (let skipped = job.fresh; skipped < task; skipped++) job.back.set(skipped, 1);
         job.fresh = task + 1;
       }
     }
-    this.addAttempt({ job, task, attempt, machine: m, session: m.session, startedAt: at, stop: null });
-    m.changes++;
-    m.images.delete(job.spec.image);
-    m.images.set(job.spec.image, job.spec.imageGb);
-    if (m.images.size > 16) m.images.delete(m.images.keys().next().value!);
+    this.addAttempt({ job, task, attempt, machine, session: machine.session, startedAt: at, stop: null });
+    machine.changes++;
+    machine.images.delete(job.spec.image);
+    machine.images.set(job.spec.image, job.spec.imageGb);
+    if (machine.images.size > 16) machine.images.delete(machine.images.keys().next().value!);
   }
 
-  /** Counts a task as present on its machine; for `apply` and for loading a snapshot alone. */
-  addAttempt(live: TaskAttempt): void {
-    live.job.live.set(live.task, live);
-    live.machine.live.add(live);
-    if (live.stop) live.machine.stopping++;
-    this.use(live, 1);
+  /** Counts an attempt as present on its machine; only for apply() and for loading a snapshot. */
+  addAttempt(attempt: TaskAttempt): void {
+    attempt.job.live.set(attempt.task, attempt);
+    attempt.machine.live.add(attempt);
+    if (attempt.stop) attempt.machine.stopping++;
+    this.addUsage(attempt, 1);
   }
 
-  private use(l: TaskAttempt, sign: 1 | -1): void {
-    const s = l.job.spec;
-    const t = this.teamUsage.get(s.team) ?? { cpus: 0, gpus: 0 };
-    this.teamUsage.set(s.team, t);
-    for (const x of [t, l.machine]) {
-      x.cpus += sign * s.cpus;
-      x.gpus += sign * s.gpus;
+  /** Adds the resources of an attempt to what its team and its machine use, or takes them from it. */
+  private addUsage(attempt: TaskAttempt, sign: 1 | -1): void {
+    const spec = attempt.job.spec;
+    const team = this.teamUsage.get(spec.team) ?? { cpus: 0, gpus: 0 };
+    this.teamUsage.set(spec.team, team);
+    for (const used of [team, attempt.machine]) {
+      used.cpus += sign * spec.cpus;
+      used.gpus += sign * spec.gpus;
     }
-    l.machine.mem += sign * s.mem;
+    attempt.machine.mem += sign * spec.mem;
   }
 
-  private stop(e: Extract<LogEntry, { e: 'stop' }>, at: WallMs): void {
-    const job = this.jobs.get(e.job);
+  private stopAttempts(entry: Extract<LogEntry, { e: 'stop' }>, at: WallMs): void {
+    const job = this.jobs.get(entry.job);
     if (!job) return;
-    for (const task of e.p) {
-      const l = job.live.get(task);
-      if (!l) continue;
-      l.machine.changes++;
-      if (!l.stop) l.machine.stopping++;
-      if (!l.stop || l.stop.grace > e.grace) l.stop = { grace: e.grace, at, why: e.why };
+    for (const task of entry.p) {
+      const attempt = job.live.get(task);
+      if (!attempt) continue;
+      attempt.machine.changes++;
+      if (!attempt.stop) attempt.machine.stopping++;
+      if (!attempt.stop || attempt.stop.grace > entry.grace)
+        attempt.stop = { grace: entry.grace, at, why: entry.why };
       if (job.spec.gang) job.broken = true;
     }
   }
 
-  private end(
+  private endAttempt(
     id: JobId,
     task: number,
     attempt: AttemptNumber,
@@ -234,28 +239,27 @@
     at: WallMs,
   ): void {
     const job = this.jobs.get(id);
-    const l = job?.live.get(task);
-    if (!job || !l || l.attempt !== attempt) return;
+    const ended = job?.live.get(task);
+    if (!job || !ended || ended.attempt !== attempt) return;
     job.live.delete(task);
-    const m = l.machine;
-    m.live.delete(l);
-    m.changes++;
-    if (l.stop) m.stopping--;
-    this.use(l, -1);
-    if (m.live.size === 0) {
-      m.idleSince = at;
-      m.cpus = m.gpus = m.mem = 0;
+    const machine = ended.machine;
+    machine.live.delete(ended);
+    machine.changes++;
+    if (ended.stop) machine.stopping--;
+    this.addUsage(ended, -1);
+    if (machine.live.size === 0) {
+      machine.idleSince = at;
+      machine.cpus = machine.gpus = machine.mem = 0;
     }
     if (cause === 'done') {
-      m.errors = 0;
+      machine.errors = 0;
       job.errors = 0;
     }
     if (cause === 'error') {
-      // A job that fails wherever it runs spoils no machine's name: only jobs that have not
-      // failed on other machines count against this one.
       job.errors++;
-      job.errorMachines.add(m.id);
-      if (job.errorMachines.size <= 2) m.errors++;
+      job.errorMachines.add(machine.id);
+      // Failures of a job that fails on any machine don't count against the machines.
+      if (job.errorMachines.size <= 2) machine.errors++;
       job.notBefore = (at + Math.min(60_000, 1000 * 2 ** Math.min(job.errors, 6))) as WallMs;
     }
     if (cause === 'no_room' || cause === 'busy' || cause === 'unknown')
@@ -263,7 +267,7 @@
     if (job.spec.gang) {
       if (cause === 'done') job.done = job.spec.tasks;
       else job.broken = true;
-      if (cause === 'alone' || l.stop?.why === GANG_BROKEN) job.places.push(m.id);
+      if (cause === 'alone' || ended.stop?.why === GANG_BROKEN) job.places.push(machine.id);
       if (job.live.size === 0 && job.broken) {
         job.gangTry++;
         job.broken = false;
@@ -271,24 +275,26 @@
       }
     } else if (cause === 'done') job.done++;
     else if (!job.withdrawn) job.back.set(task, attempt + 1);
-    // Guards not_done: done only when the end of every task is in a record.
+    // Upholds not_done: a job is done only when the end of every task is in a record.
     if (!job.withdrawn && job.done >= job.spec.tasks && !this.outcomes.has(id))
       this.outcomes.set(id, { state: 'done', done: job.done });
-    this.tidy(job);
+    this.removeIfOver(job);
   }
 
-  private tidy(job: Job): void {
+  private removeIfOver(job: Job): void {
     if (this.outcomes.has(job.spec.id) && job.live.size === 0) this.jobs.delete(job.spec.id);
   }
 
-  private remove(id: MachineId, at: WallMs): void {
-    const m = this.machines.get(id);
-    if (m) for (const l of [...m.live]) this.end(l.job.spec.id, l.task, l.attempt, 'lost', false, at);
+  private removeMachine(id: MachineId, at: WallMs): void {
+    const machine = this.machines.get(id);
+    if (machine)
+      for (const attempt of [...machine.live])
+        this.endAttempt(attempt.job.spec.id, attempt.task, attempt.attempt, 'lost', false, at);
     this.machines.delete(id);
     this.removedMachines.add(id);
     if (this.removedMachines.size > 4000) {
-      const low = [...this.removedMachines].sort((a, b) => num(a) - num(b)).slice(0, 2000);
-      for (const g of low) this.removedMachines.delete(g);
+      const oldest = [...this.removedMachines].sort((a, b) => numberOf(a) - numberOf(b)).slice(0, 2000);
+      for (const old of oldest) this.removedMachines.delete(old);
     }
   }
 }
--- a/test/stored-data.test.ts
+++ b/test/stored-data.test.ts
@@ -1,8 +1,8 @@
 /**
- * Guards against a renamed field in data that leaves the process: snapshots are written by spreading objects of the
- * code and read back untyped, so a rename compiles and passes every test that uses one build alone. The fixture was
- * written by the build of commit 6ce29e2: the keys of a state service, what the snapshot in them holds, and the
- * state after its records.
+ * Guards against a renamed field in data that leaves the process. Snapshots are written by spreading objects
+ * of the code and read back untyped, so a rename compiles and passes every test that uses one build alone.
+ * The fixture was written by the build of commit 6ce29e2: the keys of a state service, the content of the
+ * snapshot in them, and the state after its records.
  */
 import { readFileSync } from 'node:fs';
 import { deflateSync } from 'node:zlib';
@@ -32,10 +32,10 @@
 const keys = new Map(Object.entries(stored.keys));
 const head = keys.get(SNAPSHOT_HEAD_KEY) as SnapshotHead;
 
-/** A state in the form in which a snapshot holds it. */
+/** A state in its form in a snapshot. */
 const asJson = (state: ClusterState): unknown => JSON.parse(JSON.stringify(dumpState(state)));
 
-/** The keys of an object and of the objects in it, as paths. */
+/** Paths of all fields of an object and of the objects in it. */
 const paths = (value: object, prefix = ''): string[] =>
   Object.entries(value).flatMap(([key, inner]: [string, unknown]) =>
     typeof inner === 'object' && inner !== null ? paths(inner, `${prefix}${key}.`) : [`${prefix}${key}`],
