--- a/src/core/orderly-stops.ts
+++ b/src/core/orderly-stops.ts
@@ -1,29 +1,29 @@
-/** Stops that no other work asks for: of tasks whose machine is about to go, and of gangs that can't start. */
+/** Stop entries for tasks on machines about to be taken away, and for gangs that can't start any more. */
 import { GANG_BROKEN, type Job, type TaskAttempt, type Machine } from './model.js';
 import type { ClusterState } from './state.js';
 import type { LogEntry } from './types.js';
 
-/** Seconds that a task has on top of the time that it needs to save. */
+/** Grace in addition to the time that a task needs to save. */
 const GRACE_MARGIN_S = 1;
 
 type StopEntry = Extract<LogEntry, { e: 'stop' }>;
 
-/** Tasks that can save are stopped with time to do so when their machine got a notice, gangs as a whole. */
+/** Stops tasks that can save, with time to do so, on machines with a notice; a gang as a whole. */
 export function stopsForNotices(state: ClusterState, hasNotice: (machine: Machine) => boolean): LogEntry[] {
   const stops: LogEntry[] = [];
   const handled = new Set<Job>();
   for (const machine of state.machines.values()) {
     if (machine.drop || !hasNotice(machine)) continue;
-    for (const live of machine.live) {
-      if (live.stop || live.job.spec.checkpoint === 0 || handled.has(live.job)) continue;
-      handled.add(live.job);
-      stops.push(saveAndStop(live.job, tasksToStop(live, machine)));
+    for (const attempt of machine.live) {
+      if (attempt.stop || attempt.job.spec.checkpoint === 0 || handled.has(attempt.job)) continue;
+      handled.add(attempt.job);
+      stops.push(saveAndStop(attempt.job, tasksToStop(attempt, machine)));
     }
   }
   return stops;
 }
 
-/** All tasks of a gang; of an array those on the machine that are not being stopped yet. */
+/** All tasks of a gang; of an array, those on the machine that are not being stopped yet. */
 function tasksToStop({ job }: TaskAttempt, machine: Machine): number[] {
   if (job.spec.gang) return [...job.live.keys()];
   return [...machine.live].filter((other) => other.job === job && !other.stop).map((other) => other.task);
@@ -34,18 +34,19 @@
 });
 
 /**
- * Tasks that wait for a gang which lost one: they would wait on for the whole gang wait time, and the next
- * attempt with them. Those that still fetch go on, for the next attempt needs their images too.
+ * Stops the tasks that wait for a gang which has lost a task: they would wait until the gang wait time is
+ * over, and delay the next attempt. Tasks that still fetch go on, because the next attempt needs their images
+ * too.
  */
 export function stopsForBrokenGangs(
   jobs: Iterable<Job>,
-  waitsForGang: (live: TaskAttempt) => boolean,
+  waitsForGang: (attempt: TaskAttempt) => boolean,
 ): LogEntry[] {
   const stops: LogEntry[] = [];
   for (const job of jobs) {
     if (!job.spec.gang || !job.broken) continue;
-    const waiting = [...job.live.values()].filter((live) => !live.stop && waitsForGang(live));
-    const tasks = waiting.map((live) => live.task);
+    const waiting = [...job.live.values()].filter((attempt) => !attempt.stop && waitsForGang(attempt));
+    const tasks = waiting.map((attempt) => attempt.task);
     if (tasks.length > 0) stops.push({ e: 'stop', job: job.spec.id, p: tasks, grace: 0, why: GANG_BROKEN });
   }
   return stops;
--- a/src/core/unsettled-calls.ts
+++ b/src/core/unsettled-calls.ts
@@ -1,20 +1,21 @@
 /**
  * Direct calls to one worker that carried starts and may still be carried out.
  *
- * Each call settles for itself: the answer to one says nothing of another that was given up, which may arrive
- * minutes later. What settles a call that got no answer is a report that shows a fence above the call's own
- * (the worker drops it from then on), or a new session of the worker.
+ * Each call is settled on its own: the answer to one says nothing about another that timed out, which may
+ * arrive minutes later. A call without an answer is settled by a report that shows a fence above the call's
+ * own (from then on the worker drops the call), or by a new session of the worker.
  */
 import type { Brand, Fence } from './types.js';
 
-/** Numbers the direct calls of one leader; unique within its term. */
+/** Number of a direct call; unique within the leader's term. */
 export type CallNumber = Brand<number, 'CallNumber'>;
-/** Names one attempt of one task, see `attemptKey`. */
+/** Identifies one attempt of one task, see attemptKey(). */
 export type AttemptKey = string;
 
+/** A direct call that carried starts. */
 export interface StartCall {
   number: CallNumber;
-  /** The fence that the call carries: a worker that has seen a higher one drops it. */
+  /** The fence that the call carries: a worker that has seen a higher one drops the call. */
   fence: Fence;
   /** The attempts that it starts. */
   attempts: ReadonlySet<AttemptKey>;
@@ -31,17 +32,17 @@
     this.calls.set(call.number, call);
   }
 
-  /** The call was answered: it was carried out or refused, and won't be again. */
+  /** The call was answered: it was carried out or refused, and will not be carried out later. */
   answered(number: CallNumber): void {
     this.calls.delete(number);
   }
 
-  /** The worker has shown this fence: calls under lower ones were carried out before, or never will be. */
+  /** A report shows this fence: calls under lower ones were carried out before it, or never will be. */
   fenceReported(fence: Fence): void {
     for (const call of this.calls.values()) if (call.fence < fence) this.calls.delete(call.number);
   }
 
-  /** The highest fence of the calls that may still start an attempt; null when there is none. */
+  /** The highest fence of the calls that may still start an attempt; null when there is no such call. */
   highestFenceOf(attempt: AttemptKey): Fence | null {
     let highest: Fence | null = null;
     for (const { attempts, fence } of this.calls.values())
