--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -1,4 +1,4 @@
-/** Writes the leader's entries to the state service, as records of guarded transactions. */
+/** Appends the leader's entries to the log in the state service, as records in guarded transactions. */
 import { Subject } from 'rxjs';
 import type { ClusterState } from '../core/state.js';
 import type { LogEntry, JobId, LogRecord, RecordNumber, Term } from '../core/types.js';
@@ -10,10 +10,12 @@
 import { TokenBucket } from './token-bucket.js';
 import { COPY_TIMEOUT_MS, HedgedTransaction } from './write-copies.js';
 
+/** Asks for entries to be appended to the log. */
 export interface AppendRequest {
   entries: LogEntry[];
-  /** A user waits for it: it goes before the rest, and is not held back to be written with more. */
+  /** A user waits for it: it is written before the rest, and without a delay for batching. */
   urgent?: boolean;
+  /** Called with true once the entries are in the log, with false if this leader won't write them. */
   onSettled?: (ok: boolean) => void;
 }
 
@@ -22,70 +24,75 @@
   store: StateServiceClient;
   clock: Clock;
   logger: Logger;
-  /** Of the state service, as the settings have them. */
+  /** Limits of the state service, from the settings. */
   limits: { write_rps: number; value_kb: number; txn_ops: number };
   term: Term;
-  /** The revision of the leader key: each write is guarded by it. */
+  /** Version of the leader key, which guards each write. */
   leaderVersion: number;
-  /** A write was refused: another leads. */
+  /** A write was refused because another node leads. */
   onDeposed: (why: string) => void;
-  /** A write was answered, after so many milliseconds. */
+  /** A write was answered after this many milliseconds. */
   onWritten: (ms: number) => void;
 }
 
-/** Seconds of the write rate that may be used at once. */
+/** Burst size, in seconds of the write rate. */
 const BURST_S = 0.4;
-/** What one leader uses of the state service's writes. */
-const SHARE = 0.85;
-/** Entries that nobody waits for are gathered for so long, as the paper's batches are. */
-const GATHER_MS = 100;
-/** A transaction's limit, less its guards and frame. */
-const TXN_BYTES = 60 * 1024;
+/** Share of the state service's write rate that one leader uses. */
+const WRITE_RATE_SHARE = 0.85;
+/** Entries that nobody waits for are batched: their write starts at least this long after the one before. */
+const BATCH_DELAY_MS = 100;
+/** Size limit of a transaction without its guards and framing. */
+const MAX_TXN_BYTES = 60 * 1024;
 
-/** Of a value's limit, for what a record holds beside its entries. */
+/** Part of a value's size limit that is kept for what a record holds beside its entries. */
 const RECORD_FRAME_BYTES = 300;
-/** A write is tried again so long after each kind of result that settles nothing. */
+/** Delay before a write is repeated, for each result that does not settle it. */
 const RETRY_AFTER_MS: Record<TransactionResult['outcome'], number> = {
   ...{ done: 0, failed: 100, refused: 150, no_lease: 30, unknown: 30 },
 };
 
-interface Waiting extends AppendRequest {
+interface QueuedRequest extends AppendRequest {
+  /** Size of its entries in JSON. */
   bytes: number;
 }
+
+/** The requests whose entries one record holds. */
 interface Batch {
-  items: Waiting[];
+  requests: QueuedRequest[];
   record: LogRecord;
 }
 
-/** As many of the items from there on as fit into one record; one at the least. */
-function itemsOfRecord(all: readonly Waiting[], from: number, mostBytes: number): Waiting[] {
-  const items: Waiting[] = [];
+/** The requests from an index on that fit into one record, at least one. */
+function requestsForRecord(all: readonly QueuedRequest[], from: number, maxBytes: number): QueuedRequest[] {
+  const requests: QueuedRequest[] = [];
   let bytes = 0;
-  for (const item of all.slice(from)) {
-    if (items.length > 0 && bytes + item.bytes > mostBytes) break;
-    bytes += item.bytes;
-    items.push(item);
+  for (const request of all.slice(from)) {
+    if (requests.length > 0 && bytes + request.bytes > maxBytes) break;
+    bytes += request.bytes;
+    requests.push(request);
   }
-  return items;
+  return requests;
 }
 
 /**
- * The leader's writer of the log: group commits, one transaction at a time, each guarded by the leader key's
- * stamp. A burst fills several records of one transaction.
+ * Writes the leader's log by group commit: one transaction at a time, each guarded by the version of the
+ * leader key. A burst of entries fills several records of one transaction.
  */
 export class LogActor extends Actor<AppendRequest> {
-  private urgent: Waiting[] = [];
-  private queue: Waiting[] = [];
-  private writing = false;
-  private writingSince = 0;
-  private lastStart = -Infinity;
-  private tag = 0;
+  private urgent: QueuedRequest[] = [];
+  private queue: QueuedRequest[] = [];
+  private isWriting = false;
+  private writeStartedAt = 0;
+  private lastWriteAt = -Infinity;
+  private lastTag = 0;
   private readonly state: ClusterState;
   private readonly clock: Clock;
   private readonly limits: LogOptions['limits'];
   private readonly bucket: TokenBucket;
   private cancelWait: Cancel | null = null;
+  /** Records that were written and applied, in order. */
   readonly committed = new Subject<{ no: RecordNumber; record: LogRecord }>();
+  /** Count of the writes that succeeded, and their total duration. */
   readonly writes = { count: 0, ms: 0 };
 
   constructor(private readonly options: LogOptions) {
@@ -95,129 +102,136 @@
     this.clock = clock;
     this.limits = limits;
     const burst = Math.max(1, Math.floor(limits.write_rps * BURST_S));
-    this.bucket = new TokenBucket(clock, limits.write_rps * SHARE, burst);
+    this.bucket = new TokenBucket(clock, limits.write_rps * WRITE_RATE_SHARE, burst);
   }
 
-  /** Folding takes writes that the pen leaves over: never more than this at once. */
+  /** The most writes that a snapshot may take at once: it uses what the log leaves of the write rate. */
   get maxSpareWrites(): number {
     return Math.max(1, Math.floor(this.bucket.burst / 2));
   }
 
-  /** Takes so many writes for folding, if enough are left for a burst of records. */
-  takeSpareWrites(n: number): boolean {
-    const { available: left, burst } = this.bucket;
-    if (left < Math.min(burst, n + burst / 2)) return false;
-    this.bucket.take(n);
+  /** Takes writes from the rate limit for a snapshot, if enough are left for a burst of records. */
+  takeSpareWrites(count: number): boolean {
+    const { available, burst } = this.bucket;
+    if (available < Math.min(burst, count + burst / 2)) return false;
+    this.bucket.take(count);
     return true;
   }
 
-  /** Users' entries not yet in a record. */
+  /** The number of urgent requests that are in no record yet. */
   get pendingUrgent(): number {
     return this.urgent.length;
   }
 
-  /** What is being written: it may be in the log already, and others may have read it there. */
-  private flight: Batch[] = [];
-  private readonly landed: (() => void)[] = [];
+  /** The batches being written: they may be in the log already, and other nodes may have read them there. */
+  private inFlight: Batch[] = [];
+  private readonly settledListeners: (() => void)[] = [];
 
-  /** Whether what is being written may change what there is to say of a job. */
+  /** Whether the write in flight may change the status of a job. */
   hasWriteInFlightFor(id: JobId): boolean {
-    return this.flight.some((b) =>
-      b.record.entries.some((e) => {
-        if (e.e === 'job') return e.spec.id === id;
-        return e.e === 'withdraw' ? e.job === id : e.e === 'end' && e.p.some((p) => p[0] === id);
+    return this.inFlight.some((batch) =>
+      batch.record.entries.some((entry) => {
+        if (entry.e === 'job') return entry.spec.id === id;
+        return entry.e === 'withdraw'
+          ? entry.job === id
+          : entry.e === 'end' && entry.p.some((end) => end[0] === id);
       }),
     );
   }
 
-  /** Resolves when what is being written is settled, or a time is over; false then. */
-  whenSettled(mostMs: number): Promise<boolean> {
-    if (this.flight.length === 0) return Promise.resolve(true);
+  /** Resolves to true when the write in flight is settled, to false on a time-out or when this log stops. */
+  whenSettled(timeoutMs: number): Promise<boolean> {
+    if (this.inFlight.length === 0) return Promise.resolve(true);
     return new Promise((resolve) => {
-      const cancel = this.clock.after(mostMs, () => resolve(false));
-      this.landed.push(() => {
+      const cancel = this.clock.after(timeoutMs, () => resolve(false));
+      this.settledListeners.push(() => {
         cancel();
         resolve(!this.stopped);
       });
     });
   }
 
-  private land(): void {
-    this.flight = [];
-    for (const l of this.landed.splice(0)) l();
+  private notifySettled(): void {
+    this.inFlight = [];
+    for (const listener of this.settledListeners.splice(0)) listener();
   }
 
-  /** How long the present write has gone unanswered. */
+  /** How long the write in flight has been without an answer; 0 when there is none. */
   get unansweredWriteMs(): number {
-    return this.writing ? this.clock.steady() - this.writingSince : 0;
+    return this.isWriting ? this.clock.steady() - this.writeStartedAt : 0;
   }
 
-  protected receive(m: AppendRequest): void {
-    if (m.entries.length === 0) return m.onSettled?.(true);
-    const w = { ...m, bytes: Buffer.byteLength(JSON.stringify(m.entries)) };
-    (m.urgent ? this.urgent : this.queue).push(w);
+  protected receive(request: AppendRequest): void {
+    if (request.entries.length === 0) return request.onSettled?.(true);
+    const queued = { ...request, bytes: Buffer.byteLength(JSON.stringify(request.entries)) };
+    (request.urgent ? this.urgent : this.queue).push(queued);
     this.pump();
   }
 
+  /** Starts a write when there are entries and the write rate and the batching delay allow it. */
   private pump(): void {
-    if (this.writing || this.stopped) return;
+    if (this.isWriting || this.stopped) return;
     this.cancelWait?.();
     this.cancelWait = null;
     if (this.urgent.length + this.queue.length === 0) return;
-    const wait = Math.max(
+    const waitMs = Math.max(
       this.bucket.waitMs,
-      this.urgent.length > 0 ? 0 : this.lastStart + GATHER_MS - this.clock.steady(),
+      this.urgent.length > 0 ? 0 : this.lastWriteAt + BATCH_DELAY_MS - this.clock.steady(),
     );
-    if (wait > 0) this.cancelWait = this.clock.after(Math.ceil(wait), () => this.pump());
+    if (waitMs > 0) this.cancelWait = this.clock.after(Math.ceil(waitMs), () => this.pump());
     else void this.write();
   }
 
-  /** Takes what waits, as far as one transaction and the write rate hold it; urgent entries first. */
+  /** Takes queued requests, urgent ones first, up to the limits of a transaction and of the write rate. */
   private takeBatches(): Batch[] {
     const valueBytes = this.limits.value_kb * 1024;
-    const rateAllows = Math.max(1, Math.floor(this.bucket.available));
-    const mostRecords = Math.min(rateAllows, this.limits.txn_ops, Math.floor(TXN_BYTES / valueBytes));
+    const allowedRecords = Math.max(1, Math.floor(this.bucket.available));
+    const maxRecords = Math.min(allowedRecords, this.limits.txn_ops, Math.floor(MAX_TXN_BYTES / valueBytes));
     const all = [...this.urgent, ...this.queue];
     const at = this.clock.wall();
     const batches: Batch[] = [];
-    let used = 0;
-    while (batches.length < Math.max(1, mostRecords) && used < all.length) {
-      const items = itemsOfRecord(all, used, valueBytes - RECORD_FRAME_BYTES);
-      used += items.length;
-      const entries = items.flatMap((item) => item.entries);
-      batches.push({ items, record: { term: this.options.term, tag: ++this.tag, at, entries } });
+    let taken = 0;
+    while (batches.length < Math.max(1, maxRecords) && taken < all.length) {
+      const requests = requestsForRecord(all, taken, valueBytes - RECORD_FRAME_BYTES);
+      taken += requests.length;
+      const entries = requests.flatMap((request) => request.entries);
+      batches.push({
+        requests,
+        record: { term: this.options.term, tag: ++this.lastTag, at, entries },
+      });
     }
-    this.queue = all.slice(Math.max(used, this.urgent.length));
-    this.urgent = this.urgent.slice(used);
+    this.queue = all.slice(Math.max(taken, this.urgent.length));
+    this.urgent = this.urgent.slice(taken);
     return batches;
   }
 
   private async write(): Promise<void> {
     if (this.stopped) return;
-    this.writing = true;
+    this.isWriting = true;
     const batches = this.takeBatches();
-    this.flight = batches;
+    this.inFlight = batches;
     this.bucket.take(batches.length);
     const first = this.state.nextRecord as RecordNumber;
-    const from = this.clock.steady();
-    this.lastStart = this.writingSince = from;
-    if (!(await this.settle(first, batches))) return this.drop(batches.flatMap(({ items }) => items));
-    const tookMs = this.clock.steady() - from;
+    const startedAt = this.clock.steady();
+    this.lastWriteAt = this.writeStartedAt = startedAt;
+    if (!(await this.writeUntilSettled(first, batches)))
+      return this.reject(batches.flatMap(({ requests }) => requests));
+    const tookMs = this.clock.steady() - startedAt;
     this.writes.count++;
     this.writes.ms += tookMs;
     this.options.onWritten(tookMs);
     this.commit(first, batches);
-    this.land();
-    this.writing = false;
+    this.notifySettled();
+    this.isWriting = false;
     this.pump();
   }
 
   /**
-   * Writes the records, and resolves when they are known to be written; false when they never will be by this
-   * leader. What is being written is fixed until it is settled: a write without an answer is repeated as it is, and
-   * the guard on the absent keys lets only one of the copies through.
+   * Writes the records and resolves to true when they are known to be written, to false when this leader will
+   * never write them. The records don't change until they are settled: a write without an answer is repeated
+   * as it is, and the guard on the absence of their keys lets only one of the copies through.
    */
-  private async settle(first: RecordNumber, batches: readonly Batch[]): Promise<boolean> {
+  private async writeUntilSettled(first: RecordNumber, batches: readonly Batch[]): Promise<boolean> {
     const puts = batches.map(({ record }, index) => ({ put: recordKey(first + index), value: record }));
     const absent = puts.map(({ put }) => ({ key: put, stamp: 0 }));
     const guards = [{ key: LEADER_KEY, stamp: this.options.leaderVersion }, ...absent];
@@ -241,38 +255,38 @@
     return false;
   }
 
-  /** Whether a refused record is there already by another copy; null when it can't be read. */
+  /** Whether a refused record was written already by another copy; null when it can't be read. */
   private async isWrittenByUs(no: RecordNumber, record: LogRecord): Promise<boolean | null> {
     const item = await this.options.store.get(recordKey(no), COPY_TIMEOUT_MS);
     if (item === undefined) return null;
-    const there = item?.value as LogRecord | undefined;
-    return there !== undefined && there.term === record.term && there.tag === record.tag;
+    const stored = item?.value as LogRecord | undefined;
+    return stored !== undefined && stored.term === record.term && stored.tag === record.tag;
   }
 
   private commit(first: RecordNumber, batches: readonly Batch[]): void {
-    // Guards starts after a confirmed cancellation: a launch of the first record must not leave when the
-    // cancellation in the second is written already.
+    // All records are applied before anything is sent. Prevents starts after a confirmed cancellation: a
+    // start in the first record must not be sent when the cancellation in the second is written already.
     for (const [index, { record }] of batches.entries())
       this.state.apply((first + index) as RecordNumber, record);
-    for (const [index, { items, record }] of batches.entries()) {
+    for (const [index, { requests, record }] of batches.entries()) {
       const no = (first + index) as RecordNumber;
-      for (const item of items) item.onSettled?.(true);
+      for (const request of requests) request.onSettled?.(true);
       this.committed.next({ no, record });
       this.options.logger.debug({ no, entries: record.entries.map((entry) => entry.e) }, 'record written');
     }
   }
 
-  private drop(items: AppendRequest[]): void {
-    for (const i of items) i.onSettled?.(false);
+  private reject(requests: AppendRequest[]): void {
+    for (const request of requests) request.onSettled?.(false);
   }
 
   override stop(): void {
     super.stop();
     this.cancelWait?.();
-    this.land();
-    const q = [...this.urgent, ...this.queue];
+    this.notifySettled();
+    const unwritten = [...this.urgent, ...this.queue];
     this.urgent = [];
     this.queue = [];
-    for (const i of q) i.onSettled?.(false);
+    for (const request of unwritten) request.onSettled?.(false);
   }
 }
--- a/src/actors/snapshot.ts
+++ b/src/actors/snapshot.ts
@@ -1,4 +1,4 @@
-/** Snapshots of the state: how they are packed, and which one is in force. */
+/** The stored form of a snapshot: chunks of compressed JSON lines, and a head that names the current ones. */
 import { inflateSync } from 'node:zlib';
 import { chunked } from '../core/chunked.js';
 import { loadState } from '../core/state-dump.js';
@@ -6,63 +6,63 @@
 import { chunkKey, type SnapshotHead } from '../wire/keys.js';
 import type { Version } from '../wire/store.js';
 
-/** The snapshot in force, and the version of the key that says so. */
+/** The head of the current snapshot, and the version of its key. */
 export interface VersionedSnapshotHead extends SnapshotHead {
   version: Version;
 }
 export const NO_SNAPSHOT: VersionedSnapshotHead = { upto: 0, chunks: 0, version: 0 };
 
-/** Packs a text off the thread that renews the lock. */
+/** Compresses a text outside the thread that renews the lock. */
 export type Compress = (text: string) => Promise<Buffer>;
 
-/** So many items at once: a machine's or a job's share of a large state is no long step. */
-const AT_ONCE = 40;
+/** Items serialised in one step, so that a step stays short with a large state. */
+const ITEMS_PER_LINE = 40;
 
-/** A state's dump as lines of JSON, each a field or some items of one; other work goes on between them. */
+/** Serialises a dumped state as JSON lines of one field or of some items of it, with pauses between lines. */
 export async function toJsonLines(
   dump: Record<string, unknown>,
   pause: () => Promise<void>,
 ): Promise<string> {
-  const out: string[] = [];
+  const lines: string[] = [];
   for (const [field, value] of Object.entries(dump)) {
-    const parts = Array.isArray(value) && value.length > 0 ? chunked(value, AT_ONCE) : [value];
-    for (const p of parts) {
-      out.push(JSON.stringify([field, p]));
+    const parts = Array.isArray(value) && value.length > 0 ? chunked(value, ITEMS_PER_LINE) : [value];
+    for (const part of parts) {
+      lines.push(JSON.stringify([field, part]));
       if (parts.length > 1) await pause();
     }
   }
-  return out.join('\n');
+  return lines.join('\n');
 }
 
-function fromLines(text: string): unknown {
-  const d: Record<string, unknown> = {};
+function fromJsonLines(text: string): unknown {
+  const dump: Record<string, unknown> = {};
   for (const line of text.split('\n')) {
-    const v = JSON.parse(line) as unknown;
-    // Earlier versions wrote one object.
-    if (!Array.isArray(v)) return v;
-    const [field, value] = v as [string, unknown];
-    const had = d[field];
-    if (Array.isArray(had)) had.push(...(value as unknown[]));
-    else d[field] = value;
+    const parsed = JSON.parse(line) as unknown;
+    // Earlier versions wrote the whole state as one object.
+    if (!Array.isArray(parsed)) return parsed;
+    const [field, value] = parsed as [string, unknown];
+    const former = dump[field];
+    if (Array.isArray(former)) former.push(...(value as unknown[]));
+    else dump[field] = value;
   }
-  return d;
+  return dump;
 }
 
-/** A text packed, in chunks of at most so many characters. */
-export async function toCompressedChunks(text: string, size: number, deflate: Compress): Promise<string[]> {
-  const all = (await deflate(text)).toString('base64');
+/** Compresses a text into Base64 chunks of at most `size` characters. */
+export async function toCompressedChunks(text: string, size: number, compress: Compress): Promise<string[]> {
+  const encoded = (await compress(text)).toString('base64');
   const chunks: string[] = [];
-  for (let i = 0; i < all.length; i += size) chunks.push(all.slice(i, i + size));
+  for (let from = 0; from < encoded.length; from += size) chunks.push(encoded.slice(from, from + size));
   return chunks;
 }
 
-/** The snapshot that a head names, from keys that were read; null when a chunk is missing. */
+/** The state in the snapshot that a head names, from the keys read; null when a chunk is missing. */
 export function stateFromChunks(keys: Map<string, unknown>, head: SnapshotHead): ClusterState | null {
-  const parts: string[] = [];
-  for (let i = 0; i < head.chunks; i++) {
-    const c = keys.get(chunkKey(head.upto, i));
-    if (typeof c !== 'string') return null;
-    parts.push(c);
+  const chunks: string[] = [];
+  for (let index = 0; index < head.chunks; index++) {
+    const chunk = keys.get(chunkKey(head.upto, index));
+    if (typeof chunk !== 'string') return null;
+    chunks.push(chunk);
   }
-  return loadState(fromLines(inflateSync(Buffer.from(parts.join(''), 'base64')).toString()));
+  return loadState(fromJsonLines(inflateSync(Buffer.from(chunks.join(''), 'base64')).toString()));
 }
--- a/src/actors/snapshotter.ts
+++ b/src/actors/snapshotter.ts
@@ -1,6 +1,6 @@
 /**
- * Folds records into a packed snapshot, and removes them. Everything is written under the guards of the leader key
- * and of the head's revision, within what the log leaves of the write rate.
+ * Log compaction: writes a snapshot of the state and removes the records that it holds. All writes are
+ * guarded by the versions of the leader key and of the head, and use what the log leaves of the write rate.
  */
 import { chunked } from '../core/chunked.js';
 import { dumpState } from '../core/state-dump.js';
@@ -12,15 +12,15 @@
 import type { LogActor } from './log.js';
 import { toJsonLines, toCompressedChunks, type Compress, type VersionedSnapshotHead } from './snapshot.js';
 
-/** So many records are folded at once. */
-const FOLD_EVERY = 250;
-/** Between two steps of serialising the state, so that other work goes on. */
-const PAUSE_MS = 2;
+/** A snapshot is written after this many records. */
+const RECORDS_PER_SNAPSHOT = 250;
+/** Pause between two steps of serialising the state, for other work. */
+const SERIALISE_PAUSE_MS = 2;
 const RETRY_MS = 150;
-/** Of a value's size, for its frame. */
+/** Part of a value's size limit that is kept for its framing. */
 const VALUE_FRAME_BYTES = 64;
-/** A transaction's limit, less its guards and frame. */
-const TXN_KB = 60;
+/** Size limit of a transaction without its guards and framing. */
+const MAX_TXN_KB = 60;
 
 export interface SnapshotterOptions {
   state: ClusterState;
@@ -30,28 +30,30 @@
   log: LogActor;
   compress: Compress;
   limits: { value_kb: number; txn_ops: number };
-  /** The revision of the leader key that this leader wrote. */
+  /** Version of the leader key that this leader wrote. */
   leaderVersion: Version;
-  /** The snapshot in force at the take-over. */
+  /** Head of the current snapshot at the take-over. */
   head: VersionedSnapshotHead;
+  /** Whether this leader is certain to hold its lock. */
   isCertain: () => boolean;
-  /** How long the copy of the state took: nothing is answered meanwhile. */
+  /** The copy of the state took this long, during which nothing is answered. */
   onStateCopied: (ms: number) => void;
 }
 
 export class Snapshotter {
   private head: VersionedSnapshotHead;
-  private isFolding = false;
+  private isCompacting = false;
   private isStopped = false;
 
   constructor(private readonly options: SnapshotterOptions) {
     this.head = options.head;
   }
 
-  /** Starts folding if enough records have gathered. One that was refused for good is not tried again. */
+  /** Starts a compaction if there are enough records. One that was refused for good is never repeated. */
   compactIfDue(): void {
-    if (this.isFolding || this.options.state.nextRecord - 1 - this.head.upto < FOLD_EVERY) return;
-    this.isFolding = true;
+    if (this.isCompacting || this.options.state.nextRecord - 1 - this.head.upto < RECORDS_PER_SNAPSHOT)
+      return;
+    this.isCompacting = true;
     void this.compact();
   }
 
@@ -60,74 +62,80 @@
   }
 
   private async compact(): Promise<void> {
-    const { clock, compress: deflate, limits, logger, state } = this.options;
+    const { clock, compress, limits, logger, state } = this.options;
     const upto = state.nextRecord - 1;
-    const from = clock.steady();
+    const startedAt = clock.steady();
     const dump = dumpState(state);
-    this.options.onStateCopied(clock.steady() - from);
-    const text = await toJsonLines(dump, () => sleep(clock, PAUSE_MS));
+    this.options.onStateCopied(clock.steady() - startedAt);
+    const text = await toJsonLines(dump, () => sleep(clock, SERIALISE_PAUSE_MS));
     const chunks = await toCompressedChunks(
       text,
       Math.floor(limits.value_kb * 1024 - VALUE_FRAME_BYTES),
-      deflate,
+      compress,
     );
     const old = this.head;
     if (!(await this.writeChunks(upto, chunks, old.version))) return;
-    const head = await this.switchTo({ upto, chunks: chunks.length }, old.version);
+    const head = await this.writeHead({ upto, chunks: chunks.length }, old.version);
     if (!head) return;
     this.head = head;
-    await this.remove(old, head);
-    this.isFolding = false;
-    logger.info({ upto, chunks: chunks.length, bytes: text.length }, 'folded');
+    await this.removeObsoleteKeys(old, head);
+    this.isCompacting = false;
+    logger.info({ upto, chunks: chunks.length, bytes: text.length }, 'log compacted into a snapshot');
   }
 
-  private writeChunks(upto: number, chunks: string[], headStamp: Version): Promise<boolean> {
-    const ops = chunks.map((value, i): WriteOperation => ({ put: chunkKey(upto, i), value }));
-    const atOnce = Math.floor(TXN_KB / this.options.limits.value_kb);
-    return this.writeInParts(ops, Math.max(1, Math.min(this.mostOps(), atOnce)), headStamp);
+  private writeChunks(upto: number, chunks: string[], headVersion: Version): Promise<boolean> {
+    const ops = chunks.map((value, index): WriteOperation => ({ put: chunkKey(upto, index), value }));
+    const maxChunks = Math.floor(MAX_TXN_KB / this.options.limits.value_kb);
+    return this.writeInParts(ops, Math.max(1, Math.min(this.maxOpsPerTxn(), maxChunks)), headVersion);
   }
 
-  /** Puts the new head in force; null when that was refused for good. */
-  private async switchTo(value: SnapshotHead, oldStamp: Version): Promise<VersionedSnapshotHead | null> {
-    const stamp = await this.write([{ put: SNAPSHOT_HEAD_KEY, value }], oldStamp);
-    if (stamp !== null) return { ...value, version: stamp };
-    // Refused: by an earlier copy of the same write, or because another leads.
+  /** Makes the new head the current one; null when that was refused for good. */
+  private async writeHead(value: SnapshotHead, oldVersion: Version): Promise<VersionedSnapshotHead | null> {
+    const version = await this.write([{ put: SNAPSHOT_HEAD_KEY, value }], oldVersion);
+    if (version !== null) return { ...value, version };
+    // Refused: an earlier copy of the same write succeeded, or another node leads.
     while (!this.isStopped) {
-      const key = await this.options.store.get(SNAPSHOT_HEAD_KEY);
-      if (key && (key.value as SnapshotHead).upto === value.upto) return { ...value, version: key.version };
-      if (key !== undefined) return null;
+      const stored = await this.options.store.get(SNAPSHOT_HEAD_KEY);
+      if (stored && (stored.value as SnapshotHead).upto === value.upto)
+        return { ...value, version: stored.version };
+      if (stored !== undefined) return null;
       await sleep(this.options.clock, RETRY_MS);
     }
     return null;
   }
 
-  /** Removes the records that the new head holds, and the old head's chunks. */
-  private async remove(old: VersionedSnapshotHead, head: VersionedSnapshotHead): Promise<void> {
+  /** Removes the records that the new snapshot holds, and the old snapshot's chunks. */
+  private async removeObsoleteKeys(old: VersionedSnapshotHead, head: VersionedSnapshotHead): Promise<void> {
     const ops: WriteOperation[] = [];
     for (let no = old.upto + 1; no <= head.upto; no++) ops.push({ remove: recordKey(no) });
-    for (let i = 0; i < old.chunks; i++) ops.push({ remove: chunkKey(old.upto, i) });
-    await this.writeInParts(ops, this.mostOps(), head.version);
+    for (let index = 0; index < old.chunks; index++) ops.push({ remove: chunkKey(old.upto, index) });
+    await this.writeInParts(ops, this.maxOpsPerTxn(), head.version);
   }
 
-  private mostOps(): number {
+  private maxOpsPerTxn(): number {
     return Math.max(1, Math.min(this.options.limits.txn_ops, this.options.log.maxSpareWrites));
   }
 
-  private async writeInParts(ops: WriteOperation[], atOnce: number, headStamp: Version): Promise<boolean> {
-    for (const part of chunked(ops, atOnce)) if ((await this.write(part, headStamp)) === null) return false;
+  private async writeInParts(
+    ops: WriteOperation[],
+    opsPerTxn: number,
+    headVersion: Version,
+  ): Promise<boolean> {
+    for (const part of chunked(ops, opsPerTxn))
+      if ((await this.write(part, headVersion)) === null) return false;
     return true;
   }
 
-  /** Writes when the rate allows it; the head's revision after it, null when it was refused for good. */
-  private async write(part: WriteOperation[], headStamp: Version): Promise<Version | null> {
-    const { clock, isCertain, leaderVersion: leaderStamp, log, store } = this.options;
+  /** Writes when the rate allows it. Returns the revision of the write, null when it was refused for good. */
+  private async write(part: WriteOperation[], headVersion: Version): Promise<Version | null> {
+    const { clock, isCertain, leaderVersion, log, store } = this.options;
     while (!this.isStopped) {
       if (isCertain() && log.takeSpareWrites(part.length)) {
-        // Guards forgotten: a copy of an unanswered write that is carried out late finds another head,
-        // so it neither puts an earlier one back nor writes chunks anew that were removed.
+        // Upholds forgotten: a copy of an unanswered write that is carried out late finds another head, so it
+        // neither restores an earlier head nor writes removed chunks again.
         const guards = [
-          { key: LEADER_KEY, stamp: leaderStamp },
-          { key: SNAPSHOT_HEAD_KEY, stamp: headStamp },
+          { key: LEADER_KEY, stamp: leaderVersion },
+          { key: SNAPSHOT_HEAD_KEY, stamp: headVersion },
         ];
         const result = await store.transact(guards, part);
         if (result.outcome === 'done') return result.revision;
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -18,15 +18,15 @@
   spec: { id: `wk-${i}`, image: 'x'.repeat(filler), tasks: 1 } as never,
 });
 
-describe('the writer of the log', () => {
-  it('writes a burst as several records a transaction, and users before the rest', async () => {
+describe('log writer', () => {
+  it('writes a burst as several records per transaction, and urgent entries before the rest', async () => {
     const time = new VirtualTime();
     const service = new FakeStateService(time, limits);
     const transactions: number[] = [];
-    const store = new StateServiceClient((_a, method, path, body) => {
+    const store = new StateServiceClient((_address, method, path, body) => {
       if (path === '/txn') transactions.push((body as { apply: unknown[] }).apply.length);
-      return new Promise((ok) =>
-        time.after(10, () => void Promise.resolve(service.handle('n', method, path, body)).then(ok)),
+      return new Promise((resolve) =>
+        time.after(10, () => void Promise.resolve(service.handle('n', method, path, body)).then(resolve)),
       );
     }, 'state');
     service.kv.set('q/leader', { data: {}, stamp: 1 });
@@ -37,20 +37,21 @@
       onDeposed: () => expect.unreachable(),
       onWritten: () => {},
     });
-    let user = Infinity;
-    let rest = 0;
+    let urgentSettledAt = Infinity;
+    let restSettledAt = 0;
     log.tell({ entries: [job(0)] });
-    for (let i = 1; i <= 150; i++) log.tell({ entries: [job(i)], onSettled: () => (rest = time.now) });
-    log.tell({ entries: [job(151)], urgent: true, onSettled: () => (user = time.now) });
+    for (let i = 1; i <= 150; i++)
+      log.tell({ entries: [job(i)], onSettled: () => (restSettledAt = time.now) });
+    log.tell({ entries: [job(151)], urgent: true, onSettled: () => (urgentSettledAt = time.now) });
     await time.run(5000);
     expect(state.jobs.size).toBe(152);
-    expect(user).toBeLessThanOrEqual(40);
-    expect(rest).toBeLessThan(700);
+    expect(urgentSettledAt).toBeLessThanOrEqual(40);
+    expect(restSettledAt).toBeLessThan(700);
     expect(Math.max(...transactions)).toBeGreaterThan(3);
     expect(service.over).toBe(0);
   });
 
-  it('gets hundreds of machines to return in entries that each fit a record', () => {
+  it('gets the return of a thousand machines in entries that each fit into a record', () => {
     const state = new ClusterState();
     const up = (i: number): LogEntry => ({
       e: 'up',
@@ -74,13 +75,13 @@
       retained: new Set(),
       policy: { idleTimeoutS: () => 1, silenceTimeoutS: () => 11, rentSpot: () => true },
     } as unknown as CapacityInput);
-    expect(drops.flatMap((d) => (d.e === 'drop' ? d.m : [])).length).toBe(1000);
-    for (const d of drops) expect(JSON.stringify(d).length).toBeLessThan(6000);
+    expect(drops.flatMap((entry) => (entry.e === 'drop' ? entry.m : [])).length).toBe(1000);
+    for (const entry of drops) expect(JSON.stringify(entry).length).toBeLessThan(6000);
   });
 });
 
-describe('a snapshot', () => {
-  it('is written in short steps, is not changed by what comes meanwhile, and loads as it was', async () => {
+describe('snapshot', () => {
+  it('is serialised in short steps, unaffected by later records, and loads as the dumped state', async () => {
     const state = new ClusterState();
     write(state, [{ e: 'types', types: [box] }]);
     for (let i = 0; i < 200; i++)
@@ -97,11 +98,11 @@
       write(state, [{ e: 'end', p: [[`wk-${steps}` as never, 0, 1 as never, 'stopped', false]] }]);
       return Promise.resolve();
     });
-    // 200 machines and 200 jobs, 40 at once.
+    // 200 machines and 200 jobs, 40 items per step.
     expect(steps).toBe(10);
-    for (const t of [text, before]) {
-      const chunks = await toCompressedChunks(t, 1000, (x) => Promise.resolve(deflateSync(x)));
-      const keys = new Map(chunks.map((c, i) => [chunkKey(7, i), c as unknown]));
+    for (const stored of [text, before]) {
+      const chunks = await toCompressedChunks(stored, 1000, (plain) => Promise.resolve(deflateSync(plain)));
+      const keys = new Map(chunks.map((chunk, i) => [chunkKey(7, i), chunk as unknown]));
       const loaded = stateFromChunks(keys, { upto: 7, chunks: chunks.length })!;
       expect(JSON.stringify(dumpState(loaded))).toBe(before);
       expect(loaded.machines.get('vm-3' as MachineId)).toMatchObject({ stopping: 1, cpus: 1 });
