--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -1,59 +1,45 @@
-/** A node's copy of the state while another leads: reads the log on, and says when the lock is free. */
+/** A node's replica of the state while another node leads: follows the log and watches the lock. */
 import { ClusterState } from '../core/state.js';
 import type { LogRecord, RecordNumber, Term } from '../core/types.js';
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
-import {
-  SNAPSHOT_HEAD_KEY,
-  LEADER_KEY,
-  RECORD_PREFIX,
-  ROOT_PREFIX,
-  TERM_KEY,
-  recordKey,
-  recordNumberOf,
-  type SnapshotHead,
-  type LeaderValue,
-} from '../wire/keys.js';
-import {
-  ANSWER_TIMEOUT_MS,
-  LIST_TIMEOUT_MS,
-  type Change,
-  type KeyValue,
-  type Revision,
-  type Version,
-  type StateServiceClient,
-} from '../wire/store.js';
+import { LEADER_KEY, RECORD_PREFIX, ROOT_PREFIX, SNAPSHOT_HEAD_KEY, TERM_KEY } from '../wire/keys.js';
+import { recordKey, recordNumberOf, type LeaderValue, type SnapshotHead } from '../wire/keys.js';
+import { ANSWER_TIMEOUT_MS, LIST_TIMEOUT_MS, type Change, type KeyValue } from '../wire/store.js';
+import type { Revision, StateServiceClient, Version } from '../wire/store.js';
 import { KeyReader } from './key-values.js';
 import { SingleFlight } from './single-flight.js';
 import { NO_SNAPSHOT, stateFromChunks, type VersionedSnapshotHead } from './snapshot.js';
 
-/** While another part of the node has the state, it is looked for this often whether it is back. */
-const PAUSED_LOOK_MS = 50;
-/** A read that failed is repeated after so long. */
-const FAILED_READ_MS = 250;
-/** A watch waits for news so long, and less while the lock is free: it is contended for between two. */
+/** How often a paused follower checks whether it is resumed. */
+const PAUSED_POLL_MS = 50;
+/** Delay before a failed read is repeated. */
+const READ_RETRY_MS = 250;
+/** How long a watch waits for changes; shorter while the lock is free and this node tries to take it. */
 const WATCH_MS = 10_000;
-const FREE_WATCH_MS = 200;
-/** Watches keep this distance. */
-const WATCHES_APART_MS = 100;
-/** Reads for users' questions keep this distance. */
-const READ_APART_MS = 200;
+const WATCH_WHILE_FREE_MS = 200;
+/** Minimum interval between two watches. */
+const WATCH_INTERVAL_MS = 100;
+/** Minimum interval between two reads for users' queries. */
+const READ_INTERVAL_MS = 200;
 
-/** Follows the log by watch, so that a take-over finds the state at hand. */
+/** Follows the log by a watch, so that this node has the state when it takes over. */
 export class Follower {
   state = new ClusterState();
+  /** The state is complete up to a known revision, and can be read on from there. */
   loaded = false;
+  /** The holder of the lock; null while the lock is free. */
   leader: LeaderValue | null = null;
   head: VersionedSnapshotHead = NO_SNAPSHOT;
-  /** Steady time of the last answer of the state service. */
+  /** When the state service last answered, by the steady clock. */
   lastAnswerAt = -Infinity;
-  /** Steady time of its last answer to a question that came in the usual time; the last question's, or never. */
+  /** When it last answered a check of the leader key in time; -Infinity when the last check had no answer. */
   answeredInTimeAt = -Infinity;
   private revision: Revision = 0;
-  private readonly values: KeyReader;
+  private readonly keyReader: KeyReader;
   private readonly reads: SingleFlight<boolean>;
-  /** This node led until now: what it applied is confirmed, so that the rest can be read on. */
-  private ledUntilNow = false;
+  /** This node led until now: all that it applied is confirmed, and only later records have to be read. */
+  private hasJustLed = false;
   private paused = false;
   private stopped = false;
 
@@ -61,110 +47,109 @@
     private readonly store: StateServiceClient,
     private readonly clock: Clock,
     private readonly log: Logger,
-    private readonly on: {
+    private readonly handlers: {
       /** The lock is free; resolves when the attempt to take it is over. */
       free: () => Promise<void>;
-      leader: (v: LeaderValue | null) => void;
-      /** The lasting term, as the state service has it. */
-      term: (t: Term) => void;
+      leader: (leader: LeaderValue | null) => void;
+      /** The term in the term key, which outlasts the leader key. */
+      term: (term: Term) => void;
     },
   ) {
-    this.values = new KeyReader(log);
-    this.reads = new SingleFlight(clock, READ_APART_MS, () => this.read());
+    this.keyReader = new KeyReader(log);
+    this.reads = new SingleFlight(clock, READ_INTERVAL_MS, () => this.readIfFollowing());
   }
 
   async run(): Promise<void> {
     while (!this.stopped) {
-      if (this.paused) await sleep(this.clock, PAUSED_LOOK_MS);
-      else if (!this.loaded && !(await this.readState())) await sleep(this.clock, FAILED_READ_MS);
-      else await this.followOn();
+      if (this.paused) await sleep(this.clock, PAUSED_POLL_MS);
+      else if (!this.loaded && !(await this.readState())) await sleep(this.clock, READ_RETRY_MS);
+      else await this.watchOnce();
     }
   }
 
-  /** Waits for the next changes and takes them; contends before that while the lock is free. */
-  private async followOn(): Promise<void> {
+  /** Waits for the next changes and applies them; while the lock is free, tries to take it first. */
+  private async watchOnce(): Promise<void> {
     if (this.leader === null) {
-      await this.on.free();
+      await this.handlers.free();
       if (this.paused) return;
     }
-    const from = this.clock.steady();
-    const waitMs = this.leader === null ? FREE_WATCH_MS : WATCH_MS;
-    const news = await this.store.watch(ROOT_PREFIX, this.revision, waitMs);
+    const startedAt = this.clock.steady();
+    const waitMs = this.leader === null ? WATCH_WHILE_FREE_MS : WATCH_MS;
+    const update = await this.store.watch(ROOT_PREFIX, this.revision, waitMs);
     if (this.paused || this.stopped) return;
-    if (news === 'too_old') {
+    if (update === 'too_old') {
       this.loaded = false;
       return;
     }
-    if (!news) return sleep(this.clock, FAILED_READ_MS);
+    if (!update) return sleep(this.clock, READ_RETRY_MS);
     this.lastAnswerAt = this.clock.steady();
-    this.revision = news.revision;
-    this.log.debug({ revision: news.revision, changes: news.changes.length }, 'state service read');
-    for (const change of news.changes) this.takeChange(change);
-    // Bounded use of the state service, but nobody is late to an election.
-    const isLockFreed = news.changes.some(({ key, removed }) => key === LEADER_KEY && removed);
-    const spentMs = this.clock.steady() - from;
-    if (!isLockFreed && spentMs < WATCHES_APART_MS) await sleep(this.clock, WATCHES_APART_MS - spentMs);
+    this.revision = update.revision;
+    this.log.debug({ revision: update.revision, changes: update.changes.length }, 'state service read');
+    for (const change of update.changes) this.applyChange(change);
+    // Bounds the load on the state service, except when the lock is freed: an election follows at once.
+    const isLockFreed = update.changes.some(({ key, removed }) => key === LEADER_KEY && removed);
+    const elapsedMs = this.clock.steady() - startedAt;
+    if (!isLockFreed && elapsedMs < WATCH_INTERVAL_MS) await sleep(this.clock, WATCH_INTERVAL_MS - elapsedMs);
   }
 
-  private takeChange(change: Change): void {
+  private applyChange(change: Change): void {
     const { key, value, removed } = change;
-    if (key === LEADER_KEY) this.setLeader(removed ? null : this.values.readLeader(value));
+    if (key === LEADER_KEY) this.setLeader(removed ? null : this.keyReader.readLeader(value));
     else if (removed) return;
     else if (key === TERM_KEY) this.setTerm(value);
     else if (key === SNAPSHOT_HEAD_KEY) this.setHead(change);
-    else if (key.startsWith(RECORD_PREFIX)) this.take(recordNumberOf(key), value as LogRecord);
+    else if (key.startsWith(RECORD_PREFIX)) this.applyRecord(recordNumberOf(key), value as LogRecord);
   }
 
-  /** Reads the leader key itself, in case the watch did not report its removal; true when the lock is free. */
+  /** Reads the leader key, in case the watch missed the end of the lock. True when the lock is free. */
   async checkLeader(): Promise<boolean> {
     if (!this.loaded || this.paused) return false;
-    const k = await this.store.get(LEADER_KEY);
-    // Guards against giving way to a peer that is answered in time by luck: one late answer, and it is no evidence.
-    if (k === undefined) this.answeredInTimeAt = -Infinity;
-    if (k === undefined || this.paused) return false;
+    const stored = await this.store.get(LEADER_KEY);
+    // One missed answer voids the evidence: no leader gives way to a peer that is answered in time by luck.
+    if (stored === undefined) this.answeredInTimeAt = -Infinity;
+    if (stored === undefined || this.paused) return false;
     this.lastAnswerAt = this.answeredInTimeAt = this.clock.steady();
-    const v = k === null ? null : this.values.readLeader(k.value);
-    if (v?.run !== this.leader?.run || v?.term !== this.leader?.term) this.setLeader(v);
-    return v === null;
+    const leader = stored === null ? null : this.keyReader.readLeader(stored.value);
+    if (leader?.run !== this.leader?.run || leader?.term !== this.leader?.term) this.setLeader(leader);
+    return leader === null;
   }
 
-  private setLeader(v: LeaderValue | null): void {
-    this.leader = v;
-    this.on.leader(v);
+  private setLeader(leader: LeaderValue | null): void {
+    this.leader = leader;
+    this.handlers.leader(leader);
   }
 
   private setTerm(value: unknown): void {
-    const term = this.values.readTerm(value);
-    if (term !== null) this.on.term(term);
+    const term = this.keyReader.readTerm(value);
+    if (term !== null) this.handlers.term(term);
   }
 
-  private setHead(i: { value: unknown; version: Version } | null): void {
-    this.head = i ? { ...(i.value as SnapshotHead), version: i.version } : NO_SNAPSHOT;
+  private setHead(stored: { value: unknown; version: Version } | null): void {
+    this.head = stored ? { ...(stored.value as SnapshotHead), version: stored.version } : NO_SNAPSHOT;
   }
 
-  private take(no: RecordNumber, rec: LogRecord): void {
+  private applyRecord(no: RecordNumber, record: LogRecord): void {
     if (no < this.state.nextRecord) return;
     if (no > this.state.nextRecord) {
-      this.log.info({ no, next: this.state.nextRecord }, 'gap in the log, reading it again');
+      this.log.info({ no, next: this.state.nextRecord }, 'gap in the log; loading the state again');
       this.loaded = false;
       return;
     }
-    this.state.apply(no, rec);
+    this.state.apply(no, record);
   }
 
   private async readState(): Promise<boolean> {
-    const rejoined = this.ledUntilNow ? await this.rejoin() : null;
-    if (rejoined !== null) return rejoined;
-    this.ledUntilNow = false;
+    const isCaughtUp = this.hasJustLed ? await this.catchUpAfterLeading() : null;
+    if (isCaughtUp !== null) return isCaughtUp;
+    this.hasJustLed = false;
     return this.load();
   }
 
   /**
-   * After leading: this node applied every record up to its last confirmed write, so only what was written
-   * since is read, and not the snapshot. False when that could not be done now, null when what was written
-   * is in a snapshot already.
+   * After leading: this node has applied every record up to its last confirmed write, so only later records
+   * are read, and not the snapshot. False when the read failed, null when they were compacted already.
    */
-  private async rejoin(): Promise<boolean | null> {
+  private async catchUpAfterLeading(): Promise<boolean | null> {
     const records = await this.store.list(RECORD_PREFIX, recordKey(this.state.nextRecord - 1));
     const [leader, head, term] = [
       await this.store.get(LEADER_KEY),
@@ -172,123 +157,128 @@
       await this.store.get(TERM_KEY),
     ];
     if (!records || leader === undefined || head === undefined || term === undefined) return false;
-    const folded = ((head?.value as SnapshotHead | undefined)?.upto ?? 0) >= this.state.nextRecord;
+    const isCompacted = ((head?.value as SnapshotHead | undefined)?.upto ?? 0) >= this.state.nextRecord;
     const first = records.items[0];
-    if (folded || (first && recordNumberOf(first.key) > this.state.nextRecord)) return null;
-    this.ledUntilNow = false;
+    if (isCompacted || (first && recordNumberOf(first.key) > this.state.nextRecord)) return null;
+    this.hasJustLed = false;
     this.loaded = true;
-    for (const item of records.items) this.take(recordNumberOf(item.key), item.value as LogRecord);
+    for (const item of records.items) this.applyRecord(recordNumberOf(item.key), item.value as LogRecord);
     this.revision = records.revision;
     this.lastAnswerAt = this.clock.steady();
     this.setHead(head);
     this.setTerm(term?.value);
-    this.setLeader(leader ? this.values.readLeader(leader.value) : null);
-    this.log.info({ next: this.state.nextRecord }, 'state read on');
+    this.setLeader(leader ? this.keyReader.readLeader(leader.value) : null);
+    this.log.info({ next: this.state.nextRecord }, 'records written since this node led were read');
     return this.loaded;
   }
 
-  /** Reads snapshot and records. False when that could not be done now. */
-  async load(patienceMs = 0): Promise<boolean> {
-    const from = this.clock.steady();
-    const all = await this.store.list(ROOT_PREFIX, null, Math.max(LIST_TIMEOUT_MS, patienceMs));
+  /** Reads the snapshot and all records after it. False when the read failed. */
+  async load(timeoutMs = 0): Promise<boolean> {
+    const startedAt = this.clock.steady();
+    const all = await this.store.list(ROOT_PREFIX, null, Math.max(LIST_TIMEOUT_MS, timeoutMs));
     if (!all) return false;
-    const keys = new Map(all.items.map((i) => [i.key, i.value]));
+    const keys = new Map(all.items.map((item) => [item.key, item.value]));
     const head = (keys.get(SNAPSHOT_HEAD_KEY) as SnapshotHead | undefined) ?? { upto: 0, chunks: 0 };
     let state = new ClusterState();
     if (head.upto > 0) {
-      const folded = stateFromChunks(keys, head);
-      if (!folded) return false;
-      state = folded;
+      const fromSnapshot = stateFromChunks(keys, head);
+      if (!fromSnapshot) return false;
+      state = fromSnapshot;
     }
-    for (const i of all.items) {
-      if (!i.key.startsWith(RECORD_PREFIX)) continue;
-      const no = recordNumberOf(i.key);
+    for (const item of all.items) {
+      if (!item.key.startsWith(RECORD_PREFIX)) continue;
+      const no = recordNumberOf(item.key);
       if (no < state.nextRecord) continue;
       if (no > state.nextRecord) return false;
-      state.apply(no, i.value as LogRecord);
+      state.apply(no, item.value as LogRecord);
     }
     this.state = state;
-    this.setHead(all.items.find((i) => i.key === SNAPSHOT_HEAD_KEY) ?? null);
+    this.setHead(all.items.find((item) => item.key === SNAPSHOT_HEAD_KEY) ?? null);
     this.revision = all.revision;
     this.loaded = true;
     this.lastAnswerAt = this.clock.steady();
     this.setTerm(keys.get(TERM_KEY));
-    this.setLeader(keys.has(LEADER_KEY) ? this.values.readLeader(keys.get(LEADER_KEY)) : null);
-    this.log.info({ next: state.nextRecord, ms: Math.round(this.clock.steady() - from) }, 'state loaded');
+    this.setLeader(keys.has(LEADER_KEY) ? this.keyReader.readLeader(keys.get(LEADER_KEY)) : null);
+    this.log.info(
+      { next: state.nextRecord, ms: Math.round(this.clock.steady() - startedAt) },
+      'state loaded',
+    );
     return true;
   }
 
   /**
-   * Reads on to what the log holds at this moment, so that this node may say what can change though it
-   * reaches no leader. Questions share reads, and reads keep a distance. False when it could not be done.
+   * Reads the log up to its present end, so that this node can answer queries about changing state while it
+   * reaches no leader. Queries share reads, and reads keep a minimum interval. False when the read failed.
    */
   readLatest(): Promise<boolean> {
     return this.reads.get();
   }
 
-  private async read(): Promise<boolean> {
-    // Guards the state of a node that began to lead meanwhile: only its pen applies records then.
-    const may = (): boolean => this.loaded && !this.paused;
-    return may() && (await this.readOn(may));
+  private async readIfFollowing(): Promise<boolean> {
+    // A node that began to lead during the read applies no records here: its log writer does so.
+    const mayApply = (): boolean => this.loaded && !this.paused;
+    return mayApply() && (await this.readNewRecords(mayApply));
   }
 
-  /** Whether the log is here up to a record, or comes within a time. */
-  async waitForRecord(next: number, mostMs: number): Promise<boolean> {
-    for (const end = this.clock.steady() + mostMs; this.state.nextRecord < next;)
+  /** Waits until all records before `next` are applied; false after a time-out or while not following. */
+  async waitForRecord(next: number, timeoutMs: number): Promise<boolean> {
+    for (const end = this.clock.steady() + timeoutMs; this.state.nextRecord < next;)
       if (!this.loaded || this.paused || this.clock.steady() > end) return false;
       else await sleep(this.clock, 20);
     return this.loaded && !this.paused;
   }
 
-  /** Reads what was written after the last record known here, and applies it if it still may be. */
-  private async readOn(may: () => boolean): Promise<boolean> {
+  /** Reads the records after the last one applied here, and applies them if `mayApply` still allows it. */
+  private async readNewRecords(mayApply: () => boolean): Promise<boolean> {
     const records = await this.store.list(RECORD_PREFIX, recordKey(this.state.nextRecord - 1));
-    // Nothing after ours: either all is here, or it was folded meanwhile.
+    // No later record: either this state is complete, or the records were compacted in the meantime.
     const head = records?.items.length === 0 ? await this.store.get(SNAPSHOT_HEAD_KEY) : null;
-    if (!records || head === undefined || !may()) return false;
-    return this.takeRest(records.items, head);
+    if (!records || head === undefined || !mayApply()) return false;
+    return this.applyRemaining(records.items, head);
   }
 
-  /** Applies what follows the last record known here; false when it was folded, so that all has to be loaded. */
-  private takeRest(records: KeyValue[], head: KeyValue | null): boolean {
+  /** Applies the records after the last one applied; false when they were compacted, so a load is needed. */
+  private applyRemaining(records: KeyValue[], head: KeyValue | null): boolean {
     this.lastAnswerAt = this.clock.steady();
     const first = records[0];
-    const isFolded = first
+    const isCompacted = first
       ? recordNumberOf(first.key) > this.state.nextRecord
       : head !== null && (head.value as SnapshotHead).upto >= this.state.nextRecord;
-    if (isFolded) this.loaded = false;
-    else for (const { key, value } of records) this.take(recordNumberOf(key), value as LogRecord);
+    if (isCompacted) this.loaded = false;
+    else for (const { key, value } of records) this.applyRecord(recordNumberOf(key), value as LogRecord);
     return this.loaded;
   }
 
   /**
-   * Reads on to take over; what was folded meanwhile is read anew with the snapshot. Answers may take as long as
-   * the lock lasts. Nobody but this node writes records or the head from now on, so they can be asked for at once.
+   * Reads the rest of the log to take over; if it was compacted, loads the snapshot. Answers may take as long
+   * as the lock lasts. From now on only this node writes records and the head, so both can be read at the
+   * same time.
    */
-  async catchUp(patienceMs: number): Promise<boolean> {
-    if (!this.loaded) return this.load(patienceMs);
+  async catchUp(timeoutMs: number): Promise<boolean> {
+    if (!this.loaded) return this.load(timeoutMs);
     const [records, head] = await Promise.all([
       this.store.list(
         RECORD_PREFIX,
         recordKey(this.state.nextRecord - 1),
-        Math.max(LIST_TIMEOUT_MS, patienceMs),
+        Math.max(LIST_TIMEOUT_MS, timeoutMs),
       ),
-      this.store.get(SNAPSHOT_HEAD_KEY, Math.max(ANSWER_TIMEOUT_MS, patienceMs)),
+      this.store.get(SNAPSHOT_HEAD_KEY, Math.max(ANSWER_TIMEOUT_MS, timeoutMs)),
     ]);
     if (!records || head === undefined) return false;
-    if (!this.takeRest(records.items, head)) return this.load(patienceMs);
+    if (!this.applyRemaining(records.items, head)) return this.load(timeoutMs);
     this.setHead(head);
     return true;
   }
 
+  /** Before leading: this follower no longer applies records. */
   pause(): void {
     this.paused = true;
   }
 
-  /** After leading: what was written since is read. */
+  /** After leading: follows the log again, from the last confirmed record on. */
   resume(): void {
     this.paused = false;
-    this.ledUntilNow ||= this.loaded;
+    this.hasJustLed ||= this.loaded;
     this.loaded = false;
   }
 
--- a/test/state-service.test.ts
+++ b/test/state-service.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { expectAllAnswered, expectAllOver, startWorld, work } from './fakes/scenarios.js';
 
-describe('the state service', () => {
-  it('followers keep up past removed keys, folded records among them', async () => {
+describe('followers of the log', () => {
+  it('keep up when keys are removed, compacted records among them', async () => {
     const w = await startWorld(10);
     for (let i = 0; i < 130; i++) {
       w.user(w.job({ shifts: 3, reckon_s: 2 }));
@@ -10,14 +10,14 @@
     }
     await expectAllOver(w, 200);
     expect(w.state.kv.has('q/head')).toBe(true);
-    const lead = w.nodes[w.leader()]!.controller;
-    const behind = w.nodes.map((n) => lead.nextRecord - n.controller.nextRecord);
-    for (const b of behind) expect(Math.abs(b)).toBeLessThan(5);
+    const leader = w.nodes[w.leader()]!.controller;
+    const lags = w.nodes.map((node) => leader.nextRecord - node.controller.nextRecord);
+    for (const lag of lags) expect(Math.abs(lag)).toBeLessThan(5);
   });
 });
 
-describe('the state service meets', () => {
-  it('transactions carried out late, after newer ones, and folds: nothing is lost at a later start', async () => {
+describe('the cluster survives', () => {
+  it('transactions carried out late, after newer ones and after compactions: a restart loses nothing', async () => {
     const w = await startWorld(220);
     w.state.lateMs = () => (w.random() < 0.15 ? 2000 + w.random() * 10_000 : 0);
     for (let i = 0; i < 110; i++) {
@@ -28,23 +28,24 @@
     w.state.lateMs = () => 0;
     await w.time.run(15_000);
     expect((w.state.kv.get('q/head')?.data as { upto: number }).upto).toBeGreaterThan(200);
-    for (const n of [0, 1, 2]) w.crash(n, 300 + n * 200);
+    for (const node of [0, 1, 2]) w.crash(node, 300 + node * 200);
     await w.time.run(8000);
     await expectAllAnswered(w);
     await expectAllOver(w, 300);
   });
 
-  it("a fold's write that is carried out after the next fold: neither an earlier head nor its chunks come back", async () => {
+  it("a compaction's write that is carried out after the next compaction: no earlier head or chunk comes back", async () => {
     const w = await startWorld(223);
     const heads: number[] = [];
-    let late = false;
+    let isHeldUp = false;
     let last = 0;
-    // The first copy of the second head gets no answer, and is carried out when two more are written.
-    w.state.lateMs = (t) => {
-      const head = t.apply.find((a) => a.write === 'q/head')?.data as { upto: number } | undefined;
+    // The first copy of the second head gets no answer and is carried out after two more heads were written.
+    w.state.lateMs = (transaction) => {
+      const head = transaction.apply.find((operation) => operation.write === 'q/head')?.data as
+        { upto: number } | undefined;
       if (head && heads.at(-1) !== head.upto) heads.push(head.upto);
-      if (!head || heads.length !== 2 || late) return 0;
-      late = true;
+      if (!head || heads.length !== 2 || isHeldUp) return 0;
+      isHeldUp = true;
       return 60_000;
     };
     for (let i = 0; i < 220; i++) {
@@ -55,26 +56,26 @@
       last = upto;
     }
     expect(heads.length).toBeGreaterThan(3);
-    const chunks = [...w.state.kv.keys()].filter((k) => k.startsWith('q/s/'));
+    const chunks = [...w.state.kv.keys()].filter((key) => key.startsWith('q/s/'));
     const head = w.state.kv.get('q/head')!.data as { upto: number; chunks: number };
     expect(head.upto).toBe(heads.at(-1));
-    expect(chunks.filter((k) => k.includes(String(head.upto)))).toHaveLength(head.chunks);
-    for (const n of [0, 1, 2]) w.crash(n, 300 + n * 200);
+    expect(chunks.filter((key) => key.includes(String(head.upto)))).toHaveLength(head.chunks);
+    for (const node of [0, 1, 2]) w.crash(node, 300 + node * 200);
     await w.time.run(8000);
     await expectAllAnswered(w);
     await expectAllOver(w, 300);
   });
 
-  it('a write whose answer is lost: what followers say of it, the leader does not take back', async () => {
+  it('a write whose answer is lost: the leader does not contradict what followers have answered from it', async () => {
     const w = await startWorld(224);
     w.state.loses = () => w.random() < 0.3;
     for (let i = 0; i < 12; i++) {
-      const j = w.job({ shifts: 2, reckon_s: 3 + w.random() * 5 });
-      w.time.after(i * 2500, () => w.user(j, i % 4 === 0 ? 9000 : null));
-      for (let t = 0; t < 600; t++)
+      const job = w.job({ shifts: 2, reckon_s: 3 + w.random() * 5 });
+      w.time.after(i * 2500, () => w.user(job, i % 4 === 0 ? 9000 : null));
+      for (let query = 0; query < 600; query++)
         w.time.after(
-          i * 2500 + t * 100,
-          () => w.checker.standing(j.name_id) && void w.ask('show', j.name_id),
+          i * 2500 + query * 100,
+          () => w.checker.standing(job.name_id) && void w.ask('show', job.name_id),
         );
     }
     await w.time.run(90_000);
@@ -82,16 +83,16 @@
     await expectAllOver(w, 200);
   });
 
-  it('ten changes of the leader in two minutes, in an outage too, and handing over and back within a second', async () => {
+  it('ten changes of the leader in two minutes, some during an outage, some with a restart after 200 ms', async () => {
     const w = await startWorld(221);
     const { doomed } = work(w);
-    for (const j of doomed) w.user(j, 40_000);
+    for (const job of doomed) w.user(job, 40_000);
     await w.time.run(20_000);
     const terms: number[] = [];
     for (let i = 0; i < 10; i++) {
-      const was = w.leader();
+      const former = w.leader();
       if (i % 3 === 2) w.time.after(300, () => w.state.outage(5000));
-      if (was >= 0) w.crash(was, i % 2 ? 200 : 6000);
+      if (former >= 0) w.crash(former, i % 2 ? 200 : 6000);
       await w.time.run(12_000);
       terms.push(w.nodes[Math.max(0, w.leader())]!.controller.status().term);
     }
@@ -101,16 +102,16 @@
     await expectAllOver(w, 300);
   });
 
-  it('all controllers end in the middle of an election, and are back within a fraction of a second', async () => {
+  it('a crash of all controllers in the middle of an election and their restart within 350 ms', async () => {
     for (const after of [2300, 2450, 2550, 2700]) {
       const w = await startWorld(225);
       const { doomed } = work(w);
-      for (const j of doomed) w.user(j, 40_000);
+      for (const job of doomed) w.user(job, 40_000);
       await w.time.run(20_000);
-      const was = w.leader();
-      w.crash(was, 200);
+      const former = w.leader();
+      w.crash(former, 200);
       await w.time.run(after);
-      for (const n of [0, 1, 2]) if (!w.nodes[n]!.clock.dead) w.crash(n, 150 + n * 100);
+      for (const node of [0, 1, 2]) if (!w.nodes[node]!.clock.dead) w.crash(node, 150 + node * 100);
       await w.time.run(6000);
       expect(w.leader()).toBeGreaterThanOrEqual(0);
       await expectAllAnswered(w);
@@ -118,13 +119,13 @@
     }
   });
 
-  it('all controllers are away for longer than a lease, and one returns', async () => {
+  it('an absence of all controllers for longer than a lease, after which one returns', async () => {
     const w = await startWorld(222);
     const two = w.job({ shifts: 2, reckon_s: 12 });
     const three = w.job({ shifts: 3, reckon_s: 90 });
-    for (const j of [two, three]) w.user(j);
+    for (const job of [two, three]) w.user(job);
     await w.time.run(20_000);
-    for (const n of [0, 1, 2]) w.crash(n, n === 1 ? 22_000 : 60_000);
+    for (const node of [0, 1, 2]) w.crash(node, node === 1 ? 22_000 : 60_000);
     await w.time.run(30_000);
     expect(w.leader()).toBe(1);
     await expectAllAnswered(w);
