--- a/src/core/state-dump.ts
+++ b/src/core/state-dump.ts
@@ -31,13 +31,13 @@
       back: [...job.back],
       errorMachines: [...job.errorMachines],
       places: [...job.places],
-      live: [...job.live.values()].map((l) => [
-        l.task,
-        l.attempt,
-        l.machine.id,
-        l.session,
-        l.startedAt,
-        l.stop,
+      live: [...job.live.values()].map((attempt) => [
+        attempt.task,
+        attempt.attempt,
+        attempt.machine.id,
+        attempt.session,
+        attempt.startedAt,
+        attempt.stop,
       ]),
     })),
   };
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -74,7 +74,7 @@
   zones: string[];
 }
 
-/** A team's guaranteed resources, and the most that it may use. */
+/** A team's guaranteed resources, and its limits. */
 export interface Team {
   name: string;
   cpus: number;
@@ -123,7 +123,12 @@
   | { op: 'stop'; job: JobId; task: number; attempt: AttemptNumber; grace: number }
   | { op: 'forget'; job: JobId; task: number; attempt: AttemptNumber };
 
-/** One decision or observation in a record. Everything that a later leader must know is one of these. */
+/**
+ * One decision or observation in a record. Everything that a later leader must know is one of these.
+ *
+ * The fields are stored: `e` is the kind, `m` a machine or several, `s` a worker's session, `p` the tasks
+ * concerned.
+ */
 export type LogEntry =
   | { e: 'job'; spec: JobSpec }
   | { e: 'withdraw'; job: JobId }
--- a/test/stored-data.test.ts
+++ b/test/stored-data.test.ts
@@ -74,8 +74,8 @@
 
 describe('GET /metrics', () => {
   it("a leader's status and figures keep the names of their fields", async () => {
-    const w = await startWorld(23);
-    const { controller } = w.nodes[w.leader()]!;
+    const world = await startWorld(23);
+    const { controller } = world.nodes[world.leader()]!;
     expect(paths(controller.status()).sort()).toEqual(
       [
         ...['node', 'run', 'term', 'leading', 'leader', 'leaderTerm', 'takingOver', 'remembersMs', 'workers'],
