--- a/src/actors/lease.ts
+++ b/src/actors/lease.ts
@@ -1,28 +1,30 @@
-/** A lease of the state service that is kept alive by renewals. */
+/** A lease of the state service that is kept alive by periodic renewals. */
 import type { SteadyMs } from '../core/types.js';
 import type { Cancel, Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { Measure } from '../io/metrics.js';
 import type { LeaseId, RenewalResult, StateServiceClient } from '../wire/store.js';
 
-/** The worst difference between two steady clocks, doubled. */
+/** Largest relative drift between two steady clocks, with a safety factor of two. */
 export const MAX_CLOCK_DRIFT = 0.001;
-/** Renewals are sent this often in a lease's time. As many may be open at once, since none waits for longer. */
+/**
+ * Renewals sent per lease duration. As many may be open at once, since none is waited for longer than that.
+ */
 const RENEWALS_PER_LEASE = 4;
-/** Requests to end a lease, until one is answered. */
-const MOST_END_REQUESTS = 4;
+/** Attempts to revoke a lease, until one is answered. */
+const MAX_REVOKE_REQUESTS = 4;
 
-/** What became of the renewals of a lease. */
+/** Results of the renewals of a lease. */
 export interface RenewalStatistics {
   sent: number;
-  /** Answered so soon that the next one overlaps. */
+  /** Answered at least one renewal interval before the lease could expire. */
   timely: number;
   /** Answered later than that. */
   late: number;
   refused: number;
-  /** Given up: an answer could prove nothing any more. */
+  /** Given up, because an answer could no longer prove that the lease lasts. */
   unanswered: number;
-  /** Milliseconds in which the lease was not known to last, before an answer showed that it does. */
+  /** Milliseconds for which the lease was not known to last, until an answer showed that it did. */
   uncertainMs: number;
 }
 
@@ -32,18 +34,17 @@
   logger: Logger;
   measure: Measure;
   id: LeaseId;
-  /** The lease's time, in milliseconds. */
   leaseDurationMs: number;
-  /** When the request was sent that made it. */
+  /** When the request that created the lease was sent. */
   requestedAt: SteadyMs;
-  /** The state service says that it ended. */
+  /** Called when the state service says that the lease has ended. */
   onEnded: () => void;
 }
 
 /**
- * Keeps a lease alive from when it is made. Its time counts from when the answered request was *sent*: the lease
- * can't have started earlier than that, so it can't end before what is believed here. An answer is waited for as
- * long as it can still prove something, which is the lease's time.
+ * Renews a lease from its creation on. The lease counts as valid from when the answered request was *sent*:
+ * it can't have started earlier than that, so it can't expire before the time that is assumed here. An answer
+ * is waited for as long as it can still prove that the lease lasts, which is the lease duration.
  */
 export class RenewedLease {
   readonly statistics: RenewalStatistics = {
@@ -51,83 +52,85 @@
     uncertainMs: 0,
   };
   private validUntil: number;
-  private timelyAt: number;
+  private lastTimelyAt: number;
   private stopped = false;
   private cancelRenewal: Cancel;
 
   constructor(private readonly options: LeaseOptions) {
-    const { requestedAt: askedAt, clock } = options;
-    this.validUntil = this.validFrom(askedAt);
-    this.timelyAt = clock.steady();
-    // The lease's time may be half over when its number is known: the first renewal is due by then.
-    const sinceAskedMs = clock.steady() - askedAt;
-    this.cancelRenewal = clock.after(Math.max(0, this.renewalMs - sinceAskedMs), () => this.renew());
+    const { requestedAt, clock } = options;
+    this.validUntil = this.expiryIfSentAt(requestedAt);
+    this.lastTimelyAt = clock.steady();
+    // Half of the lease may be over when its id arrives, so the first renewal counts from the request.
+    const sinceRequestMs = clock.steady() - requestedAt;
+    this.cancelRenewal = clock.after(Math.max(0, this.renewalIntervalMs - sinceRequestMs), () =>
+      this.renew(),
+    );
   }
 
   get id(): LeaseId {
     return this.options.id;
   }
 
-  /** The lease lasts until then at the least. */
+  /** The lease does not expire before this time. */
   get earliestExpiry(): number {
     return this.validUntil;
   }
 
-  /** Whether the lease is certain to last at this moment. */
+  /** Whether the lease has certainly not expired. */
   isValid(): boolean {
     return this.options.clock.steady() < this.validUntil;
   }
 
-  /** Milliseconds since a renewal was answered in time. */
+  /** Milliseconds since a renewal was last answered in time. */
   get sinceTimelyRenewalMs(): number {
-    return this.options.clock.steady() - this.timelyAt;
+    return this.options.clock.steady() - this.lastTimelyAt;
   }
 
-  /** No more renewals; what is open may still be carried out. */
+  /** Sends no more renewals; open ones may still be carried out. */
   stop(): void {
     this.stopped = true;
     this.cancelRenewal();
   }
 
-  /** Ends the lease now, so that its keys need not wait for its time to run out. */
-  async end(): Promise<void> {
+  /** Revokes the lease, so that its keys are removed before it would expire. */
+  async revoke(): Promise<void> {
     this.stop();
-    for (let requests = 0; requests < MOST_END_REQUESTS; requests++)
+    for (let attempt = 0; attempt < MAX_REVOKE_REQUESTS; attempt++)
       if (await this.options.store.revokeLease(this.id)) return;
   }
 
-  private get renewalMs(): number {
+  private get renewalIntervalMs(): number {
     return this.options.leaseDurationMs / RENEWALS_PER_LEASE;
   }
 
-  private validFrom(sentAt: SteadyMs): number {
+  private expiryIfSentAt(sentAt: SteadyMs): number {
     return sentAt + this.options.leaseDurationMs * (1 - MAX_CLOCK_DRIFT);
   }
 
   private renew(): void {
-    const { clock, leaseDurationMs: lifeMs, store } = this.options;
+    const { clock, leaseDurationMs, store } = this.options;
     if (this.stopped) return;
-    this.cancelRenewal = clock.after(this.renewalMs, () => this.renew());
+    this.cancelRenewal = clock.after(this.renewalIntervalMs, () => this.renew());
     const sentAt = clock.steady();
     this.statistics.sent++;
-    void store.renewLease(this.id, lifeMs).then((answer) => this.take(answer, sentAt));
+    void store.renewLease(this.id, leaseDurationMs).then((answer) => this.noteAnswer(answer, sentAt));
   }
 
-  private take(answer: RenewalResult, sentAt: SteadyMs): void {
-    const { clock, leaseDurationMs: lifeMs, logger, measure, onEnded } = this.options;
+  private noteAnswer(answer: RenewalResult, sentAt: SteadyMs): void {
+    const { clock, leaseDurationMs, logger, measure, onEnded } = this.options;
     const tookMs = clock.steady() - sentAt;
-    const isTimely = answer === 'ok' && tookMs <= lifeMs - this.renewalMs;
-    this.count(answer, isTimely);
+    const isTimely = answer === 'ok' && tookMs <= leaseDurationMs - this.renewalIntervalMs;
+    this.countAnswer(answer, isTimely);
     if (!isTimely) logger.debug({ lease: this.id, answer, tookMs, ...this.statistics }, 'renewal');
     if (this.stopped) return;
     if (answer === 'ended') onEnded();
     if (answer !== 'ok') return;
     measure('renewal', tookMs);
-    if (isTimely) this.timelyAt = clock.steady();
-    this.extend(this.validFrom(sentAt));
+    if (isTimely) this.lastTimelyAt = clock.steady();
+    this.extend(this.expiryIfSentAt(sentAt));
   }
 
-  private count(answer: RenewalResult, isTimely: boolean): void {
+  private countAnswer(answer: RenewalResult, isTimely: boolean): void {
     if (answer === 'unanswered') this.statistics.unanswered++;
     else if (answer !== 'ok') this.statistics.refused++;
     else if (isTimely) this.statistics.timely++;
--- a/src/actors/lock.ts
+++ b/src/actors/lock.ts
@@ -1,4 +1,4 @@
-/** The lock of the leader: a key on a lease, taken together with the next term. */
+/** The leader lock: a key of the state service on a lease, written together with the next term. */
 import type { Term } from '../core/types.js';
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
@@ -13,29 +13,32 @@
 } from '../wire/store.js';
 import { RenewedLease, type RenewalStatistics } from './lease.js';
 
-/** The shortest lease of the leader key. */
-const SHORTEST_LOCK_MS = 2500;
-/** Processor time that may pass between two renewals: on a small share of a core it takes longer. */
-const LOCK_PROCESSOR_MS = 340;
-/** Of a worker's lease: a take-over after the leader's end has to fit in with the rest of it. */
-const LOCK_OF_WORKER_LEASE = 1 / 3;
-/** Times that the leader key is read when the transaction that takes it got no answer. */
-const MOST_READS = 3;
-const READS_APART_MS = 100;
-
-/** The lease of the leader key, in milliseconds: a leader must not lose it to its own work. */
+const MIN_LOCK_LEASE_MS = 2500;
+/** Processor time that may pass between two renewals; with a small share of a core it takes longer. */
+const LOCK_LEASE_PROCESSOR_MS = 340;
+/** Largest share of a worker's lease: a take-over after the leader fails has to fit into the rest of it. */
+const MAX_SHARE_OF_WORKER_LEASE = 1 / 3;
+/** Reads of the leader key after the transaction that writes it got no answer. */
+const MAX_READS = 3;
+const READ_INTERVAL_MS = 100;
+
+/**
+ * Lease of the leader key, in milliseconds: long enough that a leader's own work does not make it lose the
+ * lock.
+ */
 export const lockLeaseDurationMs = (cpuShare: number, workerLeaseS: number): number => {
-  const longest = workerLeaseS * 1000 * LOCK_OF_WORKER_LEASE;
-  return Math.round(Math.max(SHORTEST_LOCK_MS, Math.min(LOCK_PROCESSOR_MS / cpuShare, longest)));
+  const longestMs = workerLeaseS * 1000 * MAX_SHARE_OF_WORKER_LEASE;
+  return Math.round(Math.max(MIN_LOCK_LEASE_MS, Math.min(LOCK_LEASE_PROCESSOR_MS / cpuShare, longestMs)));
 };
 
+/** The lock as it was acquired: the term, and the version of the leader key. */
 export interface HeldLock {
   term: Term;
   version: Version;
 }
 
-/** Who holds the leader key, as far as could be read. */
-type Holder = { who: 'us'; stamp: Version } | { who: 'another' | 'nobody' | 'unknown' };
+/** Holder of the leader key, as far as it could be read. */
+type Holder = { who: 'us'; version: Version } | { who: 'another' | 'nobody' | 'unknown' };
 const NOT_READ: Holder = { who: 'unknown' };
 
 export interface LockOptions {
@@ -43,27 +46,30 @@
   clock: Clock;
   logger: Logger;
   measure: Measure;
-  /** Who takes it; the term is filled in. */
+  /** Value of the leader key; the term is filled in when the lock is acquired. */
   identity: LeaderValue;
-  /** The lease's time, in milliseconds. */
   leaseDurationMs: number;
   onLost: (why: string) => void;
 }
 
+/** The leader lock as one node sees it. */
 export class Lock {
-  /** A take-over is under way: what becomes of it is not known. */
+  /** Whether the transaction that takes the lock is under way: it may have been carried out already. */
   isAcquiring = false;
   private lease: RenewedLease | null = null;
   private current: HeldLock | null = null;
 
   constructor(private readonly options: LockOptions) {}
 
-  /** Past this a leader decides nothing and asserts nothing that could have changed. */
+  /**
+   * Whether the lease has certainly not expired. Without this a leader decides nothing, and asserts nothing
+   * that another leader could have changed.
+   */
   isCertain(): boolean {
     return this.current !== null && this.lease !== null && this.lease.isValid();
   }
 
-  /** Until when the lock is certain, or was. */
+  /** End of the time for which the lock is, or was, certain to be held. */
   get certainUntil(): number {
     return this.current && this.lease ? this.lease.earliestExpiry : -Infinity;
   }
@@ -78,109 +84,113 @@
     return this.current && this.lease ? this.lease.sinceTimelyRenewalMs : 0;
   }
 
+  /** The lock if this node holds it, certain or not. */
   get held(): HeldLock | null {
     return this.current;
   }
 
-  /** Of the lock that is held, or was held last. */
+  /** Statistics of the lock that is held, or was held last. */
   renewalStatistics(): RenewalStatistics | null {
     return this.lease?.statistics ?? null;
   }
 
-  /** Tries to take the free lock. The term is raised in the same transaction. */
+  /** Tries once to acquire the lock; null if it is not acquired. The same transaction raises the term. */
   async tryAcquire(): Promise<HeldLock | null> {
-    const { leaseDurationMs: lifeMs, store } = this.options;
-    const former = await store.get(TERM_KEY, lifeMs);
-    if (former === undefined) return null;
-    const formerTerm = former === null ? 0 : readTermValue(former.value);
-    // Guards the terms' order: no next one follows from what can't be read.
-    if (formerTerm === null) return null;
-    const term = (formerTerm + 1) as Term;
+    const { leaseDurationMs, store } = this.options;
+    const previous = await store.get(TERM_KEY, leaseDurationMs);
+    if (previous === undefined) return null;
+    const previousTerm = previous === null ? 0 : readTermValue(previous.value);
+    // An unreadable term has no known successor, and terms must never decrease.
+    if (previousTerm === null) return null;
+    const term = (previousTerm + 1) as Term;
     const lease = await this.newLease();
     if (!lease) return null;
     this.isAcquiring = true;
-    const version = await this.take(lease.id, term, former?.version ?? 0);
+    const version = await this.writeKeys(lease.id, term, previous?.version ?? 0);
     this.isAcquiring = false;
     if (version === null || this.lease !== lease) {
-      void lease.end();
+      void lease.revoke();
       return null;
     }
     this.current = { term, version };
     return this.current;
   }
 
-  /** A lease that is renewed from now on: what is still to be asked may take longer than it lasts. */
+  /** Creates a lease and renews it from now on: the requests that follow may take longer than it lasts. */
   private async newLease(): Promise<RenewedLease | null> {
-    const { clock, leaseDurationMs: lifeMs, logger, measure, store } = this.options;
-    const askedAt = clock.steady();
-    const id = await store.grantLease(lifeMs, lifeMs);
+    const { clock, leaseDurationMs, logger, measure, store } = this.options;
+    const requestedAt = clock.steady();
+    const id = await store.grantLease(leaseDurationMs, leaseDurationMs);
     if (id === undefined) return null;
     const lease: RenewedLease = new RenewedLease({
-      ...{ store, clock, logger, measure, id, leaseDurationMs: lifeMs, requestedAt: askedAt },
-      onEnded: () => this.leaseEnded(lease),
+      ...{ store, clock, logger, measure, id, leaseDurationMs, requestedAt },
+      onEnded: () => this.onLeaseEnded(lease),
     });
     this.lease = lease;
     return lease;
   }
 
-  private leaseEnded(lease: RenewedLease): void {
+  private onLeaseEnded(lease: RenewedLease): void {
     lease.stop();
     if (this.lease !== lease) return;
     if (this.current) this.markLost('the lease ended');
     else this.lease = null;
   }
 
-  /** The version of the leader key once it is ours; null: it is not, or nobody knows. */
-  private async take(lease: LeaseId, term: Term, termStamp: Version): Promise<Version | null> {
-    const answer = this.askFor(lease, term, termStamp);
+  /**
+   * Writes the leader key and the term. Returns the version of the leader key if this node holds it; null if
+   * it does not, or if that cannot be found out.
+   */
+  private async writeKeys(lease: LeaseId, term: Term, termVersion: Version): Promise<Version | null> {
+    const answer = this.sendTransaction(lease, term, termVersion);
     const isInTime = await Promise.race([
       answer.then(() => true),
       sleep(this.options.clock, ANSWER_TIMEOUT_MS).then(() => false),
     ]);
-    // It may have been carried out, and only its answer be lost or late: the key says so.
-    const early = isInTime ? NOT_READ : await this.readHolder(lease, term);
-    if (early.who === 'us') return early.stamp;
-    if (early.who === 'another') return null;
+    // The transaction may have been carried out although its answer is late or lost: the key shows it.
+    const earlyHolder = isInTime ? NOT_READ : await this.readHolder(lease, term);
+    if (earlyHolder.who === 'us') return earlyHolder.version;
+    if (earlyHolder.who === 'another') return null;
     const result = await answer;
     if (result.outcome === 'done') return result.revision;
-    return result.outcome === 'unknown' ? this.readWhetherOurs(lease, term) : null;
+    return result.outcome === 'unknown' ? this.readOwnVersion(lease, term) : null;
   }
 
-  private askFor(lease: LeaseId, term: Term, termStamp: Version): Promise<TransactionResult> {
-    const { leaseDurationMs: lifeMs, identity: me, store } = this.options;
+  private sendTransaction(lease: LeaseId, term: Term, termVersion: Version): Promise<TransactionResult> {
+    const { leaseDurationMs, identity, store } = this.options;
     const guards = [
       { key: LEADER_KEY, stamp: 0 },
-      { key: TERM_KEY, stamp: termStamp },
+      { key: TERM_KEY, stamp: termVersion },
     ];
-    const ops = [
-      { put: LEADER_KEY, value: { ...me, term }, lease },
+    const operations = [
+      { put: LEADER_KEY, value: { ...identity, term }, lease },
       { put: TERM_KEY, value: { term } },
     ];
-    return store.transact(guards, ops, lifeMs);
+    return store.transact(guards, operations, leaseDurationMs);
   }
 
-  /** No answer will come any more. */
-  private async readWhetherOurs(lease: LeaseId, term: Term): Promise<Version | null> {
-    for (let reads = 0; reads < MOST_READS; reads++) {
+  /** Finds out from the key whether a transaction was carried out whose answer is lost. */
+  private async readOwnVersion(lease: LeaseId, term: Term): Promise<Version | null> {
+    for (let reads = 0; reads < MAX_READS; reads++) {
       const holder = await this.readHolder(lease, term);
-      if (holder.who === 'us') return holder.stamp;
+      if (holder.who === 'us') return holder.version;
       if (holder.who !== 'unknown') return null;
-      await sleep(this.options.clock, READS_APART_MS);
+      await sleep(this.options.clock, READ_INTERVAL_MS);
     }
     return null;
   }
 
   private async readHolder(lease: LeaseId, term: Term): Promise<Holder> {
-    const { leaseDurationMs: lifeMs, identity: me, store } = this.options;
-    const item = await store.get(LEADER_KEY, lifeMs);
+    const { leaseDurationMs, identity, store } = this.options;
+    const item = await store.get(LEADER_KEY, leaseDurationMs);
     if (item === undefined) return NOT_READ;
     if (item === null) return { who: 'nobody' };
     const value = readLeaderValue(item.value);
-    const isOurs = value?.run === me.run && value.term === term && item.leaseId === lease;
-    return isOurs ? { who: 'us', stamp: item.version } : { who: 'another' };
+    const isOurs = value?.run === identity.run && value.term === term && item.leaseId === lease;
+    return isOurs ? { who: 'us', version: item.version } : { who: 'another' };
   }
 
-  /** Somebody else leads, or may lead. */
+  /** Notes that the lock is lost: another node leads, or may lead. */
   markLost(why: string): void {
     if (!this.current) return;
     this.options.logger.info(
@@ -192,10 +202,10 @@
     this.options.onLost(why);
   }
 
-  /** Gives the lock away, so that another need not wait for the lease to run out. */
+  /** Releases the lock, so that another node need not wait for the lease to expire. */
   release(why: string): void {
     const { current: held, lease } = this;
     this.markLost(why);
-    if (held && lease) void lease.end();
+    if (held && lease) void lease.revoke();
   }
 }
--- a/test/lock.property.test.ts
+++ b/test/lock.property.test.ts
@@ -1,6 +1,6 @@
 /**
- * Whatever happens to the controllers and to their way to the state service, no controller is certain to lead while
- * another holds the lock; and once all is well again, somebody leads.
+ * Whatever faults occur in the controllers and in their connections to the state service, no controller is
+ * certain to lead while another holds the lock; and once the faults are over, a controller leads.
  */
 import fc from 'fast-check';
 import { expect, it } from 'vitest';
@@ -10,27 +10,27 @@
 const SEED = Number(process.env.LOCK_SEED ?? 20261203);
 const RUNS = Number(process.env.LOCK_RUNS ?? 60);
 const SAMPLE_MS = 10;
-const LOCK_MS = 2500;
+const LOCK_LEASE_MS = 2500;
 const TAKE_OVER_MS = 1000;
-/** The longest that a request is held back. */
-const LONGEST_HELD_MS = 4000;
+/** Longest delay of a request. */
+const MAX_DELAY_MS = 4000;
 
-/** Stands for the node that leads. */
+/** Stands for the node that leads when the fault begins. */
 const LEADER = -1;
 
-interface Trouble {
+interface Fault {
   kind:
     'slow requests' | 'slow answers' | 'outage' | 'refused' | 'frozen' | 'crashed' | 'late writes' | 'cut';
-  /** Its number, or whoever leads then. */
+  /** Index of the node, or `LEADER`. */
   node: number;
-  /** Part of the paths that are slow; all when empty. */
+  /** Part of the paths that are slow; empty for all paths. */
   path: '' | '/touch' | '/txn' | '/leases' | '/kv/';
-  ms: number;
-  forMs: number;
-  thenMs: number;
+  delayMs: number;
+  durationMs: number;
+  pauseMs: number;
 }
 
-const trouble: fc.Arbitrary<Trouble> = fc.record({
+const anyFault: fc.Arbitrary<Fault> = fc.record({
   kind: fc.oneof(
     { weight: 2, arbitrary: fc.constantFrom('slow requests' as const, 'slow answers' as const) },
     { weight: 2, arbitrary: fc.constantFrom('refused' as const, 'cut' as const) },
@@ -49,66 +49,73 @@
     fc.constantFrom('' as const, '/touch' as const),
     fc.constantFrom('/txn' as const, '/leases' as const, '/kv/' as const),
   ),
-  ms: fc.constantFrom(600, 1300, 1800, 2400, 3000, LONGEST_HELD_MS),
-  forMs: fc.constantFrom(4000, 9000, 20_000),
-  thenMs: fc.constantFrom(0, 300, 1500, 4000),
+  delayMs: fc.constantFrom(600, 1300, 1800, 2400, 3000, MAX_DELAY_MS),
+  durationMs: fc.constantFrom(4000, 9000, 20_000),
+  pauseMs: fc.constantFrom(0, 300, 1500, 4000),
 });
 
-type Slow = Trouble & { until: number };
+type Slowdown = Fault & { until: number };
 
-/** How long something on its way to (or from) the state service is held up now. */
-const heldMs = (w: World, slow: Slow[], address: string, path: string): number =>
+/** Current delay of a request to the state service, or of an answer from it. */
+const currentDelayMs = (world: World, slowdowns: Slowdown[], address: string, path: string): number =>
   Math.max(
     0,
-    ...slow
-      .filter((s) => s.until > w.time.now && address === `state-for-n${s.node}:1` && path.includes(s.path))
-      .map((s) => s.ms * (0.5 + w.random() / 2)),
+    ...slowdowns
+      .filter(
+        (slowdown) =>
+          slowdown.until > world.time.now &&
+          address === `state-for-n${slowdown.node}:1` &&
+          path.includes(slowdown.path),
+      )
+      .map((slowdown) => slowdown.delayMs * (0.5 + world.random() / 2)),
   );
 
-const bringAbout = (w: World, t: Trouble, requests: Slow[], answers: Slow[]): void => {
-  const slow = { ...t, until: w.time.now + t.forMs };
-  const name = `n${t.node}`;
-  if (t.kind === 'slow requests') requests.push(slow);
-  if (t.kind === 'slow answers') answers.push(slow);
-  if (t.kind === 'outage') w.state.outage(t.forMs);
-  if (t.kind === 'frozen') w.freeze(t.node, t.forMs);
-  if (t.kind === 'crashed' && !w.nodes[t.node]!.clock.dead) w.crash(t.node, t.forMs);
-  if (t.kind === 'cut') w.network.cut(name, `state-for-${name}:1`, t.forMs, t.ms > 2000);
-  if (t.kind === 'refused') {
-    w.state.refusedTo.add(name);
-    w.time.after(t.forMs, () => w.state.refusedTo.delete(name));
+const injectFault = (world: World, fault: Fault, requests: Slowdown[], answers: Slowdown[]): void => {
+  const slowdown = { ...fault, until: world.time.now + fault.durationMs };
+  const name = `n${fault.node}`;
+  if (fault.kind === 'slow requests') requests.push(slowdown);
+  if (fault.kind === 'slow answers') answers.push(slowdown);
+  if (fault.kind === 'outage') world.state.outage(fault.durationMs);
+  if (fault.kind === 'frozen') world.freeze(fault.node, fault.durationMs);
+  if (fault.kind === 'crashed' && !world.nodes[fault.node]!.clock.dead)
+    world.crash(fault.node, fault.durationMs);
+  if (fault.kind === 'cut')
+    world.network.cut(name, `state-for-${name}:1`, fault.durationMs, fault.delayMs > 2000);
+  if (fault.kind === 'refused') {
+    world.state.refusedTo.add(name);
+    world.time.after(fault.durationMs, () => world.state.refusedTo.delete(name));
   }
-  if (t.kind === 'late writes') {
-    w.state.lateMs = () => (w.random() < 0.4 ? t.ms : 0);
-    w.time.after(t.forMs, () => (w.state.lateMs = () => 0));
+  if (fault.kind === 'late writes') {
+    world.state.lateMs = () => (world.random() < 0.4 ? fault.delayMs : 0);
+    world.time.after(fault.durationMs, () => (world.state.lateMs = () => 0));
   }
 };
 
-const play = async (seed: number, troubles: Trouble[]): Promise<void> => {
-  const w = new World(seed);
-  await w.started();
-  const watch = new LeadershipMonitor(w, SAMPLE_MS);
-  const requests: Slow[] = [];
-  const answers: Slow[] = [];
-  w.network.holds = (address, _body, path) => heldMs(w, requests, address, path);
-  w.network.holdsAnswer = (address, path) => heldMs(w, answers, address, path);
-  for (const t of troubles) {
-    const node = t.node === LEADER ? Math.max(0, w.leader()) : t.node;
-    bringAbout(w, { ...t, node }, requests, answers);
-    await w.time.run(t.thenMs);
+const runFaults = async (seed: number, faults: Fault[]): Promise<void> => {
+  const world = new World(seed);
+  await world.started();
+  const monitor = new LeadershipMonitor(world, SAMPLE_MS);
+  const requests: Slowdown[] = [];
+  const answers: Slowdown[] = [];
+  world.network.holds = (address, _body, path) => currentDelayMs(world, requests, address, path);
+  world.network.holdsAnswer = (address, path) => currentDelayMs(world, answers, address, path);
+  for (const fault of faults) {
+    const node = fault.node === LEADER ? Math.max(0, world.leader()) : fault.node;
+    injectFault(world, { ...fault, node }, requests, answers);
+    await world.time.run(fault.pauseMs);
   }
-  const longest = Math.max(...troubles.map((t) => t.forMs));
-  await w.time.run(longest + LONGEST_HELD_MS + 2 * LOCK_MS + TAKE_OVER_MS);
-  expect(watch.stop().conflicts).toBe(0);
-  expect(w.leader()).toBeGreaterThanOrEqual(0);
+  const longestMs = Math.max(...faults.map((fault) => fault.durationMs));
+  await world.time.run(longestMs + MAX_DELAY_MS + 2 * LOCK_LEASE_MS + TAKE_OVER_MS);
+  expect(monitor.stop().conflicts).toBe(0);
+  expect(world.leader()).toBeGreaterThanOrEqual(0);
 };
 
-it('no controller is certain to lead while another holds the lock, and somebody leads in the end', async () => {
+it('no controller is certain to lead while another holds the lock, and a controller leads in the end', async () => {
   await fc.assert(
     fc.asyncProperty(
       fc.integer({ min: 1, max: 1000 }),
-      fc.array(trouble, { minLength: 1, maxLength: 8 }),
-      play,
+      fc.array(anyFault, { minLength: 1, maxLength: 8 }),
+      runFaults,
     ),
     { seed: SEED, numRuns: RUNS },
   );
