--- a/src/actors/key-values.ts
+++ b/src/actors/key-values.ts
@@ -1,31 +1,33 @@
-/** Reads the leader and term keys. What can't be read proves nothing and extends nothing, and is logged once. */
+/** Reads the leader and term keys. A malformed value proves and extends nothing, and is logged once. */
 import type { Term } from '../core/types.js';
 import type { Logger } from '../io/logger.js';
 import { readLeaderValue, readTermValue, type LeaderValue } from '../wire/keys.js';
 
-/** Stands for a value that can't be read: the lock is not free, and nobody is known to hold it. */
+/** Stands for a malformed value: the lock is not free, and its holder is not known. */
 const UNREADABLE_LEADER: LeaderValue = { node: '', term: 0, run: '' };
 
+/** Reads values of these keys, and logs the first malformed one of each. */
 export class KeyReader {
   private readonly logged = new Set<string>();
 
   constructor(private readonly logger: Logger) {}
 
+  /** The leader key's value, or an unknown holder if it is malformed. */
   readLeader(value: unknown): LeaderValue {
     const leader = readLeaderValue(value);
-    if (!leader) this.log('the leader key');
+    if (!leader) this.logOnce('the leader key');
     return leader ?? UNREADABLE_LEADER;
   }
 
-  /** Null when it can't be read; 0 when there is none. */
+  /** The term; 0 if there is none, null if it is malformed. */
   readTerm(value: unknown): Term | null {
     if (value === undefined) return 0 as Term;
     const term = readTermValue(value);
-    if (term === null) this.log('the term key');
+    if (term === null) this.logOnce('the term key');
     return term;
   }
 
-  private log(what: string): void {
+  private logOnce(what: string): void {
     if (this.logged.has(what)) return;
     this.logged.add(what);
     this.logger.error({ what }, 'a value of the state service can not be read');
--- a/src/actors/state-service-doubt.ts
+++ b/src/actors/state-service-doubt.ts
@@ -1,86 +1,90 @@
 /**
- * Whether a holder of the lock gets nothing done at the state service though a peer does: it then keeps a right
- * alive that it can't use, and keeps everybody else out.
+ * Detects that the holder of the lock makes no progress at the state service although a peer does. Such a
+ * holder keeps renewing a lock that it can't use, and blocks all other nodes.
  */
 import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { ReceivedStatus } from '../io/peers.js';
 
-/** Of a lease's time without a renewal answered in time: peers are asked whether the state service answers them. */
+/**
+ * Lease durations without a renewal answered in time from which on the state service is in doubt: peers are
+ * asked whether it answers them.
+ */
 const DOUBT_AFTER_LEASES = 1 / 2;
-/** Records that don't get through for so many leases' time raise the same doubt, and end it. */
-const STUCK_DOUBT_LEASES = 1;
-const STUCK_MOST_LEASES = 4;
-/** A status of a peer says something for so long: three of its intervals. */
+/** Lease durations for which a write is pending that raise the same doubt, and that lead to a hand-over. */
+const PENDING_DOUBT_LEASES = 1;
+const MAX_PENDING_LEASES = 4;
+/** Age up to which a peer's status counts: three of the intervals at which it is sent. */
 export const STATUS_MAX_AGE_MS = 1500;
 /**
- * A node that gave the lock away for this reason is no evidence for so long. What slows all of them down then
- * moves the lock to each node once at the most, and leaves it there.
+ * For this long a node that released the lock because of the state service does not count as evidence. A
+ * slowdown of all nodes then moves the lock to each node once at most, and leaves it there.
  */
 export const GAVE_WAY_EXCLUSION_MS = 60_000;
 
-/** How the holder of the lock fares at the state service. */
+/** Progress of the lock's holder at the state service. */
 export interface HolderProgress {
-  /** Milliseconds since a renewal was answered in time. */
+  /** Milliseconds since a renewal was last answered in time. */
   sinceTimelyRenewalMs: number;
-  /** Milliseconds that its present write, or its take-over, has been under way. */
+  /** Milliseconds for which its current write, or its take-over, has been under way. */
   pendingMs: number;
 }
 
+/** Decides whether the holder of the lock releases it because of the state service. */
 export class StateServiceMonitor {
-  /** Since when a peer has been reaching the state service without a break, while this node is in doubt. */
+  /** Since when a peer has reached the state service without interruption while this node is in doubt. */
   private peerReachesSince: SteadyMs | null = null;
-  private doubting = false;
+  private isDoubting = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
-    /** The lease's time, in milliseconds. */
-    private readonly lifeMs: number,
+    private readonly leaseDurationMs: number,
   ) {}
 
-  /** Peers that see this ask the state service, and say whether it answers. */
+  /** Peers that learn of this query the state service, and report whether it answers. */
   get isInDoubt(): boolean {
-    return this.doubting;
+    return this.isDoubting;
   }
 
-  /** Nothing is held any more. */
+  /** To be called while the lock is not held. */
   reset(): void {
-    this.doubting = false;
+    this.isDoubting = false;
     this.peerReachesSince = null;
   }
 
   /**
-   * Why to give the lock away now; null: keep it. A full outage is no reason, since no peer is answered then: a
-   * peer has to be answered for a lease's time, in which each renewal of this node had its chance.
+   * Returns the reason to release the lock now, or null to keep it. A full outage is no reason, since no peer
+   * is answered then. A peer has to be answered for one lease duration, so that each renewal of this node
+   * could have been answered too.
    */
   check(progress: HolderProgress, peers: readonly ReceivedStatus[]): string | null {
-    const isLate = progress.sinceTimelyRenewalMs > this.lifeMs * DOUBT_AFTER_LEASES;
-    const isStuck = progress.pendingMs > this.lifeMs * STUCK_DOUBT_LEASES;
-    this.note(isLate || isStuck, progress);
+    const isLate = progress.sinceTimelyRenewalMs > this.leaseDurationMs * DOUBT_AFTER_LEASES;
+    const isStuck = progress.pendingMs > this.leaseDurationMs * PENDING_DOUBT_LEASES;
+    this.setDoubt(isLate || isStuck, progress);
     const peerReaches = peers.some(
-      ({ status, ageMs: age }) => age < STATUS_MAX_AGE_MS && status.reachesState && !status.gaveWay,
+      ({ status, ageMs }) => ageMs < STATUS_MAX_AGE_MS && status.reachesState && !status.gaveWay,
     );
-    if (!this.doubting || !peerReaches) {
+    if (!this.isDoubting || !peerReaches) {
       this.peerReachesSince = null;
       return null;
     }
     this.peerReachesSince ??= this.clock.steady();
-    if (this.clock.steady() - this.peerReachesSince < this.lifeMs) return null;
+    if (this.clock.steady() - this.peerReachesSince < this.leaseDurationMs) return null;
     if (isLate) return 'renewals are answered too late, and a peer is answered in time';
-    if (progress.pendingMs < this.lifeMs * STUCK_MOST_LEASES) return null;
+    if (progress.pendingMs < this.leaseDurationMs * MAX_PENDING_LEASES) return null;
     return 'records do not get through, and the state service answers a peer';
   }
 
-  private note(isDoubting: boolean, progress: HolderProgress): void {
-    if (isDoubting === this.doubting) return;
-    this.doubting = isDoubting;
+  private setDoubt(inDoubt: boolean, progress: HolderProgress): void {
+    if (inDoubt === this.isDoubting) return;
+    this.isDoubting = inDoubt;
     const untimelyMs = Math.round(progress.sinceTimelyRenewalMs);
     const stuckMs = Math.round(progress.pendingMs);
     this.logger.info(
       { untimelyMs, stuckMs },
-      isDoubting ? 'state service in doubt' : 'state service answers again',
+      inDoubt ? 'state service in doubt' : 'state service answers again',
     );
   }
 }
--- a/src/actors/worker-reach.ts
+++ b/src/actors/worker-reach.ts
@@ -1,6 +1,6 @@
 /**
- * Whether a leader that no worker reaches should give the lock away: only to a peer that is alive and that workers
- * do reach.
+ * Decides whether a leader that no worker reaches releases the lock: only if there is a peer that is alive
+ * and that workers reach.
  */
 import type { SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
@@ -9,57 +9,60 @@
 import type { ReachClaims } from './reach-claims.js';
 
 /**
- * A worker that a peer sends to this leader is here at once or after up to half a second. Longer than that, with
- * the time that a status takes, and it can't reach this node.
+ * A worker that a peer redirects to this leader contacts it at once or within half a second. If none has done
+ * so after this time, which includes the time that a status takes, workers can't reach this node.
  */
-const COMES_OVER_MS = 2000;
-const STATUS_FRESH_MS = 3000;
-/** Claims of one peer, each newer than the one before: it is alive, and workers go on asking it. */
-const CLAIMS_NEEDED = 2;
-/** Claims are read at most this often. */
-const READS_APART_MS = 700;
+const REDIRECT_WAIT_MS = 2000;
+/** Age up to which a peer's status counts here. */
+const REACH_STATUS_MAX_AGE_MS = 3000;
+/** Newer claims of one peer that prove that it is alive and that workers still contact it. */
+const MIN_NEWER_CLAIMS = 2;
+const CLAIM_READ_INTERVAL_MS = 700;
 
 export interface WorkerReachabilityOptions {
   clock: Clock;
   claims: ReachClaims;
-  /** How many other controllers there are. */
+  /** Number of other controllers. */
   peerCount: number;
 }
 
+/** Compares how workers reach this leader and its peers. */
 export class WorkerReachability {
-  private betterReachedSince: SteadyMs | null = null;
-  /** The latest claim seen of each peer that can't be heard, and how often it changed since workers fell silent. */
+  /** Since when workers have reached a peer that redirects them to this leader. */
+  private peerReachedSince: SteadyMs | null = null;
   private claimsReadAt = -Infinity;
-  private readonly claimed = new Map<string, { stamp: number; changes: number }>();
+  /** Version of each peer's latest claim, and how often it changed since this leader last heard a worker. */
+  private readonly claimsByNode = new Map<string, { version: number; changes: number }>();
 
   constructor(private readonly options: WorkerReachabilityOptions) {}
 
-  /** Workers are heard, or nobody leads here. */
+  /** To be called while workers are heard, or this node does not lead. */
   reset(): void {
-    this.betterReachedSince = null;
-    this.claimed.clear();
+    this.peerReachedSince = null;
+    this.claimsByNode.clear();
   }
 
-  /** Called again and again while no worker is heard: why to give the lock away now; null: keep it. */
+  /** Called periodically while no worker is heard: the reason to release the lock now, or null to keep it. */
   async check(term: Term, peers: readonly ReceivedStatus[]): Promise<string | null> {
-    const { clock, claims, peerCount: others } = this.options;
-    const heard = peers.filter(({ ageMs: age }) => age < STATUS_FRESH_MS).map(({ status }) => status);
-    const isBetterReached = heard.some(({ workers, leaderTerm }) => workers > 0 && leaderTerm === term);
-    if (!isBetterReached) this.betterReachedSince = null;
-    else this.betterReachedSince ??= clock.steady();
-    if (this.betterReachedSince !== null && clock.steady() - this.betterReachedSince >= COMES_OVER_MS)
+    const { clock, claims, peerCount } = this.options;
+    const heard = peers.filter(({ ageMs }) => ageMs < REACH_STATUS_MAX_AGE_MS).map(({ status }) => status);
+    const isPeerReached = heard.some(({ workers, leaderTerm }) => workers > 0 && leaderTerm === term);
+    if (!isPeerReached) this.peerReachedSince = null;
+    else this.peerReachedSince ??= clock.steady();
+    if (this.peerReachedSince !== null && clock.steady() - this.peerReachedSince >= REDIRECT_WAIT_MS)
       return 'no worker reaches this node, and workers reach a peer';
-    if (heard.length === others || clock.steady() - this.claimsReadAt < READS_APART_MS) return null;
+    if (heard.length === peerCount || clock.steady() - this.claimsReadAt < CLAIM_READ_INTERVAL_MS)
+      return null;
     this.claimsReadAt = clock.steady();
-    for (const claim of await claims.read()) this.note(claim, term);
-    const isClaimed = [...this.claimed.values()].some(({ changes }) => changes >= CLAIMS_NEEDED);
+    for (const claim of await claims.read()) this.noteClaim(claim, term);
+    const isClaimed = [...this.claimsByNode.values()].some(({ changes }) => changes >= MIN_NEWER_CLAIMS);
     return isClaimed ? 'neither workers nor a peer that workers reach get through to this node' : null;
   }
 
-  private note({ node, version: stamp, term: claimedTerm }: ReachClaim, term: Term): void {
-    const former = this.claimed.get(node);
-    if (!former) this.claimed.set(node, { stamp, changes: 0 });
-    else if (former.stamp !== stamp && claimedTerm === term)
-      this.claimed.set(node, { stamp, changes: former.changes + 1 });
+  private noteClaim({ node, version, term: claimedTerm }: ReachClaim, term: Term): void {
+    const previous = this.claimsByNode.get(node);
+    if (!previous) this.claimsByNode.set(node, { version, changes: 0 });
+    else if (previous.version !== version && claimedTerm === term)
+      this.claimsByNode.set(node, { version, changes: previous.changes + 1 });
   }
 }
--- a/test/giving-way.test.ts
+++ b/test/giving-way.test.ts
@@ -1,4 +1,6 @@
-/** When the holder of the lock gives it away, decided from what it measures and what its peers say. */
+/**
+ * When the holder of the lock releases it, given its own progress, and the statuses and claims of its peers.
+ */
 import { describe, expect, it } from 'vitest';
 import { KeyReader } from '../src/actors/key-values.js';
 import {
@@ -13,10 +15,10 @@
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { silent } from './fakes/world.js';
 
-const LIFE_MS = 2000;
+const LEASE_MS = 2000;
 const TERM = 7 as Term;
 
-const peer = (over: Partial<PeerStatus> = {}, ageMs = 100): ReceivedStatus => ({
+const peer = (overrides: Partial<PeerStatus> = {}, ageMs = 100): ReceivedStatus => ({
   status: {
     ...{
       node: 'n1',
@@ -28,139 +30,145 @@
       takingOver: false,
     },
     ...{ remembersMs: 1e6, workers: 0, stateAge: 100, reachesState: true, inDoubt: false, gaveWay: false },
-    ...over,
+    ...overrides,
   },
   ageMs,
 });
 
-/** Checks each quarter of a second for so long; the reason and when it came, or null. */
+/** Checks every 250 ms for this long; returns the reason to release the lock and its time, or null. */
 const checkFor = async (
   ms: number,
   progress: (now: number) => HolderProgress,
   peers: (now: number) => ReceivedStatus[],
 ): Promise<{ why: string; at: number } | null> => {
   const time = new VirtualTime();
-  const doubt = new StateServiceMonitor(new NodeClock(time, 1, 0), silent, LIFE_MS);
+  const monitor = new StateServiceMonitor(new NodeClock(time, 1, 0), silent, LEASE_MS);
   for (; time.now < ms; await time.run(250)) {
-    const why = doubt.check(progress(time.now), peers(time.now));
+    const why = monitor.check(progress(time.now), peers(time.now));
     if (why) return { why, at: time.now };
   }
   return null;
 };
 
-const late = (now: number): HolderProgress => ({ sinceTimelyRenewalMs: now, pendingMs: 0 });
-const stuck = (now: number): HolderProgress => ({ sinceTimelyRenewalMs: 100, pendingMs: now });
-const HALF_A_MINUTE = 30_000;
+const lateRenewals = (now: number): HolderProgress => ({ sinceTimelyRenewalMs: now, pendingMs: 0 });
+const pendingWrite = (now: number): HolderProgress => ({ sinceTimelyRenewalMs: 100, pendingMs: now });
+const CHECKED_MS = 30_000;
 
 describe('a holder whose renewals are answered too late', () => {
-  it("gives way once a peer was answered for a lease's time", async () => {
-    const given = await checkFor(HALF_A_MINUTE, late, () => [peer()]);
-    expect(given?.why).toContain('renewals are answered too late');
-    expect(given?.at).toBeLessThanOrEqual(LIFE_MS / 2 + LIFE_MS + 500);
-    expect(given?.at).toBeGreaterThanOrEqual(LIFE_MS);
+  it('releases the lock once a peer was answered for one lease duration', async () => {
+    const release = await checkFor(CHECKED_MS, lateRenewals, () => [peer()]);
+    expect(release?.why).toContain('renewals are answered too late');
+    expect(release?.at).toBeLessThanOrEqual(LEASE_MS / 2 + LEASE_MS + 500);
+    expect(release?.at).toBeGreaterThanOrEqual(LEASE_MS);
   });
 
-  it('keeps the lock while no peer is answered, is heard, or is any better', async () => {
-    const none: (() => ReceivedStatus[])[] = [
+  it('keeps the lock unless a peer is heard, is answered, and has not given way itself', async () => {
+    const cases: (() => ReceivedStatus[])[] = [
       () => [],
       () => [peer({ reachesState: false })],
       () => [peer({}, 2000)],
       () => [peer({ gaveWay: true })],
     ];
-    for (const peers of none) expect(await checkFor(HALF_A_MINUTE, late, peers)).toBeNull();
+    for (const peers of cases) expect(await checkFor(CHECKED_MS, lateRenewals, peers)).toBeNull();
   });
 
-  it('keeps it while a peer is answered now and then only', async () => {
-    const flickers = (now: number): ReceivedStatus[] => [peer({ reachesState: now % 1500 < 1000 })];
-    expect(await checkFor(HALF_A_MINUTE, late, flickers)).toBeNull();
+  it('keeps the lock while a peer is answered only intermittently', async () => {
+    const intermittent = (now: number): ReceivedStatus[] => [peer({ reachesState: now % 1500 < 1000 })];
+    expect(await checkFor(CHECKED_MS, lateRenewals, intermittent)).toBeNull();
   });
 
-  it('keeps it through a full outage that ends for a peer a moment earlier', async () => {
-    const progress = (now: number): HolderProgress => late(now < 10_700 ? now : now - 10_700);
+  it('keeps the lock through a full outage that ends a moment earlier for a peer', async () => {
+    const progress = (now: number): HolderProgress => lateRenewals(now < 10_700 ? now : now - 10_700);
     const peers = (now: number): ReceivedStatus[] => [peer({ reachesState: now >= 10_000 })];
     expect(await checkFor(11_500, progress, peers)).toBeNull();
   });
 });
 
-describe('a holder whose records do not get through', () => {
-  it("gives way after four leases' time", async () => {
-    const given = await checkFor(HALF_A_MINUTE, stuck, () => [peer()]);
-    expect(given?.why).toContain('records do not get through');
-    expect(given?.at).toBe(4 * LIFE_MS);
+describe('a holder whose writes stay unanswered', () => {
+  it('releases the lock after four lease durations', async () => {
+    const release = await checkFor(CHECKED_MS, pendingWrite, () => [peer()]);
+    expect(release?.why).toContain('records do not get through');
+    expect(release?.at).toBe(4 * LEASE_MS);
   });
 
-  it('keeps the lock while nobody is answered', async () => {
-    expect(await checkFor(HALF_A_MINUTE, stuck, () => [peer({ reachesState: false })])).toBeNull();
+  it('keeps the lock while no peer is answered', async () => {
+    expect(await checkFor(CHECKED_MS, pendingWrite, () => [peer({ reachesState: false })])).toBeNull();
   });
 });
 
-it('a node counts as evidence again after a minute', () => expect(GAVE_WAY_EXCLUSION_MS).toBe(60_000));
+it('a node that gave way counts as evidence again after a minute', () =>
+  expect(GAVE_WAY_EXCLUSION_MS).toBe(60_000));
 
 describe('a leader that no worker reaches', () => {
   const reach = (claims: () => ReachClaim[] = () => []) => {
     const time = new VirtualTime();
-    const read = { read: () => Promise.resolve(claims()) };
+    const claimsReader = { read: () => Promise.resolve(claims()) };
     const clock = new NodeClock(time, 1, 0);
-    return { time, worker: new WorkerReachability({ clock, claims: read as never, peerCount: 2 }) };
+    return {
+      time,
+      reachability: new WorkerReachability({ clock, claims: claimsReader as never, peerCount: 2 }),
+    };
   };
-  /** The reason and when it came, checking each 250 ms. */
-  const givenWithin = async (
+  /** Checks every 250 ms; returns the reason to release the lock and its time, or null. */
+  const releasedWithin = async (
     ms: number,
-    { time, worker }: ReturnType<typeof reach>,
+    { time, reachability }: ReturnType<typeof reach>,
     peers: () => ReceivedStatus[],
   ): Promise<{ why: string; at: number } | null> => {
     for (; time.now < ms; await time.run(250)) {
-      const why = await worker.check(TERM, peers());
+      const why = await reachability.check(TERM, peers());
       if (why) return { why, at: time.now };
     }
     return null;
   };
   const other = peer({ node: 'n2' });
 
-  it('hands over to a peer that workers ask, though it sends them here', async () => {
-    const given = await givenWithin(HALF_A_MINUTE, reach(), () => [peer({ workers: 3 }), other]);
-    expect(given).toMatchObject({ at: 2000 });
-    expect(given?.why).toContain('workers reach a peer');
+  it('hands over to a peer that workers contact although it redirects them to this node', async () => {
+    const release = await releasedWithin(CHECKED_MS, reach(), () => [peer({ workers: 3 }), other]);
+    expect(release).toMatchObject({ at: 2000 });
+    expect(release?.why).toContain('workers reach a peer');
   });
 
-  it('keeps the lock without such a peer: none asked, sent nowhere, silent, or gone', async () => {
-    const none: (() => ReceivedStatus[])[] = [
+  it('keeps the lock without such a peer: not contacted, in another term, silent, or gone', async () => {
+    const cases: (() => ReceivedStatus[])[] = [
       () => [peer(), other],
       () => [peer({ workers: 3, leaderTerm: TERM - 1 }), other],
       () => [peer({ workers: 3 }, 4000), other],
       () => [],
     ];
-    for (const peers of none) expect(await givenWithin(HALF_A_MINUTE, reach(), peers)).toBeNull();
+    for (const peers of cases) expect(await releasedWithin(CHECKED_MS, reach(), peers)).toBeNull();
   });
 
-  it('cut off from its peers hands over to one that goes on claiming in the state service', async () => {
+  it('hands over, when cut off from its peers, to one that keeps writing reach claims', async () => {
     let version = 10;
     const claims = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version: ++version }];
-    expect((await givenWithin(HALF_A_MINUTE, reach(claims), () => []))?.why).toContain('get through');
+    expect((await releasedWithin(CHECKED_MS, reach(claims), () => []))?.why).toContain('get through');
   });
 
-  it('takes an old claim, one of another term, or one read once for nothing', async () => {
+  it('ignores claims that do not change, or that are of another term', async () => {
     let version = 10;
-    const old = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version }];
-    expect(await givenWithin(HALF_A_MINUTE, reach(old), () => [])).toBeNull();
-    const ofAnother = (): ReachClaim[] => [{ node: 'n1', term: TERM - 1, workers: 2, version: ++version }];
-    expect(await givenWithin(HALF_A_MINUTE, reach(ofAnother), () => [])).toBeNull();
+    const unchanged = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version }];
+    expect(await releasedWithin(CHECKED_MS, reach(unchanged), () => [])).toBeNull();
+    const ofAnotherTerm = (): ReachClaim[] => [
+      { node: 'n1', term: TERM - 1, workers: 2, version: ++version },
+    ];
+    expect(await releasedWithin(CHECKED_MS, reach(ofAnotherTerm), () => [])).toBeNull();
   });
 });
 
-describe('values that can not be read', () => {
-  it('prove nothing, and are logged once', () => {
+describe('malformed values', () => {
+  it('of the leader and term keys prove nothing, and are logged once for each key', () => {
     const errors: unknown[] = [];
-    const values = new KeyReader({ ...silent, error: (what: unknown) => errors.push(what) } as never);
+    const reader = new KeyReader({ ...silent, error: (what: unknown) => errors.push(what) } as never);
     const bad = [null, undefined, 7, 'n1', [], { node: 'n1' }, { node: '', term: 1, run: 'r' }];
-    for (const value of bad) expect(values.readLeader(value)).toEqual({ node: '', term: 0, run: '' });
+    for (const value of bad) expect(reader.readLeader(value)).toEqual({ node: '', term: 0, run: '' });
     for (const value of [{ term: -1 }, { term: 1.5 }, { term: 'x' }, 'x', null])
-      expect(values.readTerm(value)).toBeNull();
-    expect(values.readTerm(undefined)).toBe(0);
+      expect(reader.readTerm(value)).toBeNull();
+    expect(reader.readTerm(undefined)).toBe(0);
     expect(errors).toHaveLength(2);
   });
 
-  it('of a status make it say nothing', () => {
+  it('make a status unsound', () => {
     expect(isValidStatus(peer().status)).toBe(true);
     const bad: Partial<PeerStatus>[] = [
       { term: NaN },
@@ -172,10 +180,10 @@
       { stateAge: NaN },
       { workers: -1 },
     ];
-    for (const over of bad) expect(isValidStatus(peer(over).status)).toBe(false);
+    for (const overrides of bad) expect(isValidStatus(peer(overrides).status)).toBe(false);
   });
 
-  it('of a claim are none', () => {
+  it('make a reach claim unreadable', () => {
     for (const value of [null, 'x', { term: 1 }, { term: 1, workers: 0 }, { term: -1, workers: 1 }])
       expect(readReachClaim({ key: 'q/reach/n1', value, version: 1 })).toBeNull();
     const read = readReachClaim({ key: 'q/reach/n1', value: { term: 1, workers: 2 }, version: 3 });
