--- a/src/actors/acknowledgements.ts
+++ b/src/actors/acknowledgements.ts
@@ -1,33 +1,34 @@
-/** Which records' commands the workers' reports show to be carried out, oldest first (Ravana's "event processed"). */
+/** Up to which record reports show all commands as carried out (Ravana's "event processed"). */
 import type { TaskAttempt } from '../core/model.js';
 import type { RecordNumber } from '../core/types.js';
 
+/** The log records whose commands are not all confirmed by reports. */
 export class Acknowledgements {
-  /** Records whose starts and stops no report has shown yet. */
-  private readonly outstanding = new Map<RecordNumber, TaskAttempt[]>();
+  /** Attempts whose starts and stops no report has confirmed yet, by record, oldest first. */
+  private readonly unconfirmed = new Map<RecordNumber, TaskAttempt[]>();
 
-  constructor(private readonly wasReported: (live: TaskAttempt) => boolean) {}
+  constructor(private readonly wasReported: (attempt: TaskAttempt) => boolean) {}
 
-  /** A record was written whose commands concern these tasks. */
-  noteWritten(record: RecordNumber, lives: TaskAttempt[]): void {
-    if (lives.length > 0) this.outstanding.set(record, lives);
+  /** Notes a written record, and the task attempts that its commands concern. */
+  noteWritten(record: RecordNumber, attempts: TaskAttempt[]): void {
+    if (attempts.length > 0) this.unconfirmed.set(record, attempts);
   }
 
-  /** The last record up to which all commands were shown; `next` is the number of the next record. */
+  /** The last record up to which all commands are confirmed; `next` is the number of the next record. */
   processedUpTo(next: RecordNumber): number {
-    for (const [record, lives] of this.outstanding) {
-      const open = lives.filter((live) => this.isOpen(live));
-      if (open.length > 0) {
-        this.outstanding.set(record, open);
+    for (const [record, attempts] of this.unconfirmed) {
+      const remaining = attempts.filter((attempt) => this.isUnconfirmed(attempt));
+      if (remaining.length > 0) {
+        this.unconfirmed.set(record, remaining);
         return record - 1;
       }
-      this.outstanding.delete(record);
+      this.unconfirmed.delete(record);
     }
     return next - 1;
   }
 
-  private isOpen(live: TaskAttempt): boolean {
-    if (live.job.live.get(live.task) !== live) return false;
-    return live.stop !== null || !this.wasReported(live);
+  private isUnconfirmed(attempt: TaskAttempt): boolean {
+    if (attempt.job.live.get(attempt.task) !== attempt) return false;
+    return attempt.stop !== null || !this.wasReported(attempt);
   }
 }
--- a/src/actors/actor.ts
+++ b/src/actors/actor.ts
@@ -1,23 +1,23 @@
 import { Subject, type Subscription } from 'rxjs';
 
-/** Owns its state; the others speak to it by messages only, one at a time, in order. */
-export abstract class Actor<M> {
-  private readonly inbox = new Subject<M>();
-  private readonly sub: Subscription;
+/** Owns its state. Others communicate with it only by messages, handled one at a time and in order. */
+export abstract class Actor<Message> {
+  private readonly inbox = new Subject<Message>();
+  private readonly subscription: Subscription;
   protected stopped = false;
 
   constructor() {
-    this.sub = this.inbox.subscribe((m) => this.receive(m));
+    this.subscription = this.inbox.subscribe((message) => this.receive(message));
   }
 
-  tell(m: M): void {
-    if (!this.stopped) this.inbox.next(m);
+  tell(message: Message): void {
+    if (!this.stopped) this.inbox.next(message);
   }
 
-  protected abstract receive(m: M): void;
+  protected abstract receive(message: Message): void;
 
   stop(): void {
     this.stopped = true;
-    this.sub.unsubscribe();
+    this.subscription.unsubscribe();
   }
 }
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -1,4 +1,7 @@
-/** One term of leading: the log's writer, what was heard and is told, and the rounds that decide what runs where. */
+/**
+ * The work of a node during one term as the leader: it writes the log, serves workers and submissions, and
+ * runs the scheduling rounds.
+ */
 import type { Random } from '../core/fill.js';
 import type { Policy } from '../core/policy.js';
 import { isCancelled } from '../core/recovery.js';
@@ -24,6 +27,7 @@
 import { Snapshotter } from './snapshotter.js';
 import { WorkersActor } from './workers.js';
 
+/** What a leader uses from the rest of the process. */
 export interface LeaderDependencies {
   clock: Clock;
   store: StateServiceClient;
@@ -41,78 +45,79 @@
   dependencies: LeaderDependencies;
   state: ClusterState;
   lock: Lock;
-  /** The lock as it was taken. */
+  /** The lock as it was acquired. */
   held: HeldLock;
-  /** The snapshot in force. */
+  /** The latest complete snapshot. */
   head: VersionedSnapshotHead;
-  /** Another leads: a write was refused. */
+  /** Called when a write is refused because another node leads. */
   onDeposed: (why: string) => void;
-  /** A worker has seen a higher term. */
+  /** Called when a worker reports a higher term. */
   onHigherTerm: (term: Term) => void;
-  /** Whether reports may be answered without a certain lock. */
+  /** Whether reports may be answered while the lock is not certain to be held. */
   mayAnswerUncertain: () => boolean;
 }
 
-/** Rounds and ticks come this often at the least. */
-const ROUND_MS = 1000;
-/** A round that follows news comes so long after it, at the earliest. */
-const NEWS_ROUND_MS = 200;
-/** A round that follows news keeps this many times the last one's length from it, up to the ordinary interval. */
-const NEWS_ROUNDS_APART = 5;
-/** An ordinary round keeps this many times the last one's length from it, and more while the node is behind. */
-const ROUNDS_APART = 1.5;
-const ROUNDS_APART_BEHIND = 4;
-/** Direct calls to workers, of a node's sockets: most of those hold the workers' own connections. */
-const CALLS_OF_SOCKETS = 1 / 12;
-const LEAST_CALLS = 8;
-/** A return takes a record, a call to the cloud, and its repeats. */
-const RETURN_S = 12;
+/** Interval of ticks, and the longest delay of a round that an event triggers. */
+const TICK_INTERVAL_MS = 1000;
+/** Shortest delay between an event and the round that it triggers. */
+const MIN_EVENT_ROUND_DELAY_MS = 200;
+/** Spacing of rounds after events, in lengths of the last round; at most a tick interval. */
+const EVENT_ROUND_SPACING = 5;
+/** Spacing of rounds on ticks, in lengths of the last round; larger while the node is behind. */
+const ROUND_SPACING = 1.5;
+const ROUND_SPACING_BEHIND = 4;
+/** Share of the sockets for direct calls to workers: most others hold the workers' own connections. */
+const CALL_SHARE_OF_SOCKETS = 1 / 12;
+const MIN_OPEN_CALLS = 8;
+/** Time that returning a machine takes: a record, a call to the cloud, and its retries. */
+const MACHINE_RETURN_S = 12;
 
 interface LeaderMessage {
   kind: 'round';
 }
 
+/** Owns the actors of one term and triggers the scheduling rounds. */
 export class LeaderActor extends Actor<LeaderMessage> {
   readonly log: LogActor;
   readonly admission: AdmissionActor;
   readonly workers: WorkersActor;
   readonly cloud: CloudActor;
   readonly term: Term;
-  private readonly ports: LeaderDependencies;
+  private readonly dependencies: LeaderDependencies;
   private readonly state: ClusterState;
   private readonly lock: Lock;
   private readonly clock: Clock;
   private readonly rounds: RoundPlanner;
-  private readonly pulse: LeaderStatusLog;
+  private readonly statusLog: LeaderStatusLog;
   private readonly snapshotter: Snapshotter;
   private readonly acknowledgements: Acknowledgements;
   private cancelTick: Cancel | null = null;
-  /** The last round's entries are not all written yet. */
+  /** Whether entries of the last round are still being written. */
   private isWritingRound = false;
-  /** A round that follows news is planned. */
-  private isRoundPlanned = false;
-  private rentals = 0;
-  private roundAt = -Infinity;
-  private roundMs = 0;
-  /** When this leader saw a cancellation written: its record may have been begun long before. */
+  /** Whether a round that an event triggered is scheduled. */
+  private isRoundScheduled = false;
+  private rentalCount = 0;
+  private lastRoundAt = -Infinity;
+  private lastRoundMs = 0;
+  /** When this leader saw a cancellation committed; the time in its record may be much earlier. */
   private readonly cancelledAt = new WeakMap<Job, WallMs>();
 
   constructor(options: LeaderOptions) {
     super();
-    const { dependencies: ports, state, held } = options;
-    this.ports = ports;
+    const { dependencies, state, held } = options;
+    this.dependencies = dependencies;
     this.state = state;
     this.lock = options.lock;
-    this.clock = ports.clock;
+    this.clock = dependencies.clock;
     this.term = held.term;
     const isCertain = (): boolean => !this.stopped && this.lock.isCertain();
-    this.log = this.openLog(options);
-    this.workers = this.openWorkers(options, isCertain);
-    this.admission = this.openAdmission(isCertain);
-    const { clock, cloud, logger, settings } = ports;
+    this.log = this.createLog(options);
+    this.workers = this.createWorkers(options, isCertain);
+    this.admission = this.createAdmission(isCertain);
+    const { clock, cloud, logger, settings } = dependencies;
     this.cloud = new CloudActor(state, cloud, this.log, clock, settings.cluster.cloud, isCertain, logger);
     const { workers } = this;
-    this.pulse = new LeaderStatusLog({
+    this.statusLog = new LeaderStatusLog({
       state,
       workers,
       clock,
@@ -120,21 +125,21 @@
       term: held.term,
       writes: this.log.writes,
     });
-    this.snapshotter = this.openSnapshotter(options, isCertain);
-    this.acknowledgements = new Acknowledgements((live) => workers.progress.wasReported(live));
+    this.snapshotter = this.createSnapshotter(options, isCertain);
+    this.acknowledgements = new Acknowledgements((attempt) => workers.progress.wasReported(attempt));
     this.rounds = new RoundPlanner({
-      ...{ ...ports, state, workers, cloud: this.cloud },
-      nextRentalName: () => `h-${this.term}-${++this.rentals}`,
-      isOverdue: (live) => this.isOverdue(live),
+      ...{ ...dependencies, state, workers, cloud: this.cloud },
+      nextRentalName: () => `h-${this.term}-${++this.rentalCount}`,
+      isOverdue: (attempt) => this.isOverdue(attempt),
     });
-    this.log.committed.subscribe(({ no, record }) => this.committed(no, record));
-    const live = [...state.machines.values()].flatMap((machine) => [...machine.live]);
-    this.acknowledgements.noteWritten((state.nextRecord - 1) as RecordNumber, live);
+    this.log.committed.subscribe(({ no, record }) => this.onCommitted(no, record));
+    const liveAttempts = [...state.machines.values()].flatMap((machine) => [...machine.live]);
+    this.acknowledgements.noteWritten((state.nextRecord - 1) as RecordNumber, liveAttempts);
     this.tick();
   }
 
-  private openLog({ dependencies: ports, state, held, onDeposed }: LeaderOptions): LogActor {
-    const { clock, logger, measure, settings, store } = ports;
+  private createLog({ dependencies, state, held, onDeposed }: LeaderOptions): LogActor {
+    const { clock, logger, measure, settings, store } = dependencies;
     return new LogActor({
       ...{ state, store, clock, logger, onDeposed, term: held.term, leaderVersion: held.version },
       limits: settings.cluster.state,
@@ -142,21 +147,21 @@
     });
   }
 
-  private openWorkers(options: LeaderOptions, isCertain: () => boolean): WorkersActor {
+  private createWorkers(options: LeaderOptions, isCertain: () => boolean): WorkersActor {
     const { call, clock, logger, settings } = options.dependencies;
     const { machine_limits: limits, workers } = settings.cluster;
     return new WorkersActor({
       ...{ state: this.state, log: this.log, call, clock, logger, term: this.term, isCertain },
       reportPeriodS: workers.report_s,
-      maxOpenCalls: Math.max(LEAST_CALLS, Math.floor(limits.sockets * CALLS_OF_SOCKETS)),
+      maxOpenCalls: Math.max(MIN_OPEN_CALLS, Math.floor(limits.sockets * CALL_SHARE_OF_SOCKETS)),
       mayAnswerUncertain: options.mayAnswerUncertain,
-      onFactWritten: () => this.planRound(),
+      onFactWritten: () => this.scheduleRound(),
       onHigherTerm: options.onHigherTerm,
     });
   }
 
-  private openAdmission(isCertain: () => boolean): AdmissionActor {
-    const { clock, settings } = this.ports;
+  private createAdmission(isCertain: () => boolean): AdmissionActor {
+    const { clock, settings } = this.dependencies;
     return new AdmissionActor({
       ...{ state: this.state, log: this.log, clock, isCertain, teams: teamsOf(settings) },
       maxValueKb: settings.cluster.state.value_kb,
@@ -165,74 +170,76 @@
     });
   }
 
-  private openSnapshotter({ held, head }: LeaderOptions, isCertain: () => boolean): Snapshotter {
-    const { clock, deflate, logger, measure, settings, store } = this.ports;
+  private createSnapshotter({ held, head }: LeaderOptions, isCertain: () => boolean): Snapshotter {
+    const { clock, deflate, logger, measure, settings, store } = this.dependencies;
     return new Snapshotter({
       ...{ state: this.state, store, clock, logger, log: this.log, compress: deflate, head, isCertain },
       limits: settings.cluster.state,
       leaderVersion: held.version,
       onStateCopied: (ms) => {
         measure('fold', ms);
-        this.pulse.noteStep('fold', ms);
+        this.statusLog.noteStep('fold', ms);
       },
     });
   }
 
   private tick(): void {
     if (this.stopped) return;
-    this.cancelTick = this.clock.after(ROUND_MS, () => this.tick());
+    this.cancelTick = this.clock.after(TICK_INTERVAL_MS, () => this.tick());
     this.workers.tell({ kind: 'tick' });
     if (!this.lock.isCertain()) this.returnOverdue();
     this.cloud.tell({ kind: 'tick' });
-    const apart = this.workers.isBehind() ? ROUNDS_APART_BEHIND : ROUNDS_APART;
-    if (this.clock.steady() - this.roundAt >= this.roundMs * apart) this.tell({ kind: 'round' });
+    const spacing = this.workers.isBehind() ? ROUND_SPACING_BEHIND : ROUND_SPACING;
+    if (this.clock.steady() - this.lastRoundAt >= this.lastRoundMs * spacing) this.tell({ kind: 'round' });
   }
 
-  /** Without a certain lock no return can be logged; what a cancellation asks for is done all the same. */
+  /** Without a certain lock no return can be logged, but overdue cancelled tasks must end all the same. */
   private returnOverdue(): void {
     const all = [...this.state.machines.values()];
-    const machines = all.filter((machine) => [...machine.live].some((live) => this.isOverdue(live)));
+    const machines = all.filter((machine) => [...machine.live].some((attempt) => this.isOverdue(attempt)));
     this.cloud.tell({ kind: 'returnWithoutRecord', machines });
   }
 
   /**
-   * Guards ran_cancelled: a task that a lease's time of stops has not ended is on a machine that hangs or
-   * hears nothing; the machine is returned while that still helps.
+   * Upholds ran_cancelled: whether the machine of a cancelled task has to be returned. If stops sent for the
+   * length of a worker's lease have not ended the task, the machine hangs or is unreachable; it is returned
+   * early enough for the cancellation to be met in time.
    */
-  private isOverdue(live: TaskAttempt): boolean {
-    if (!live.stop || !isCancelled(live) || this.workers.hasReportedEnd(live)) return false;
-    const { lease_s, cancel_s } = this.ports.settings.cluster.workers;
-    const age = (this.clock.wall() - (this.cancelledAt.get(live.job) ?? live.stop.at)) / 1000;
-    return age > lease_s && (this.workers.isReconciled() || age > cancel_s - RETURN_S);
+  private isOverdue(attempt: TaskAttempt): boolean {
+    if (!attempt.stop || !isCancelled(attempt) || this.workers.hasReportedEnd(attempt)) return false;
+    const { lease_s, cancel_s } = this.dependencies.settings.cluster.workers;
+    const ageS = (this.clock.wall() - (this.cancelledAt.get(attempt.job) ?? attempt.stop.at)) / 1000;
+    return ageS > lease_s && (this.workers.isReconciled() || ageS > cancel_s - MACHINE_RETURN_S);
   }
 
   /**
-   * Something changed that a round could use: no need to wait for the tick. Rounds take a bounded share of the
-   * processor, however large the site.
+   * Schedules a round before the next tick, after an event that may let tasks start. The delay grows with the
+   * last round's length, so that rounds take a bounded share of the processor on a site of any size.
    */
-  private planRound(): void {
-    if (this.isRoundPlanned || this.stopped) return;
-    this.isRoundPlanned = true;
-    const spaced = this.roundAt + this.roundMs * NEWS_ROUNDS_APART - this.clock.steady();
-    this.clock.after(Math.min(ROUND_MS, Math.max(NEWS_ROUND_MS, spaced)), () => {
-      this.isRoundPlanned = false;
+  private scheduleRound(): void {
+    if (this.isRoundScheduled || this.stopped) return;
+    this.isRoundScheduled = true;
+    const delayMs = this.lastRoundAt + this.lastRoundMs * EVENT_ROUND_SPACING - this.clock.steady();
+    this.clock.after(Math.min(TICK_INTERVAL_MS, Math.max(MIN_EVENT_ROUND_DELAY_MS, delayMs)), () => {
+      this.isRoundScheduled = false;
       this.tell({ kind: 'round' });
     });
   }
 
-  private committed(no: RecordNumber, record: LogRecord): void {
-    const lives = record.entries.flatMap((entry) => this.livesOf(entry));
-    this.acknowledgements.noteWritten(no, lives);
-    this.pulse.noteEnds(record);
-    const machines = new Set<MachineId>(lives.map((live) => live.machine.id));
+  private onCommitted(recordNumber: RecordNumber, record: LogRecord): void {
+    const attempts = record.entries.flatMap((entry) => this.attemptsOf(entry));
+    this.acknowledgements.noteWritten(recordNumber, attempts);
+    this.statusLog.noteEnds(record);
+    const machines = new Set<MachineId>(attempts.map((attempt) => attempt.machine.id));
     if (machines.size > 0) this.workers.tell({ kind: 'commandsDue', machines });
-    const has = (...kinds: LogEntry['e'][]): boolean => record.entries.some(({ e }) => kinds.includes(e));
-    if (has('hire', 'drop')) this.cloud.tell({ kind: 'tick' });
-    if (has('job', 'up', 'gone')) this.planRound();
+    const contains = (...kinds: LogEntry['e'][]): boolean =>
+      record.entries.some(({ e }) => kinds.includes(e));
+    if (contains('hire', 'drop')) this.cloud.tell({ kind: 'tick' });
+    if (contains('job', 'up', 'gone')) this.scheduleRound();
   }
 
-  /** The tasks that an entry's commands concern. */
-  private livesOf(entry: LogEntry): TaskAttempt[] {
+  /** The task attempts that an entry's commands concern. */
+  private attemptsOf(entry: LogEntry): TaskAttempt[] {
     if (entry.e !== 'start' && entry.e !== 'stop' && entry.e !== 'withdraw') return [];
     const job = this.state.jobs.get(entry.job);
     if (!job) return [];
@@ -250,29 +257,29 @@
   }
 
   private round(): void {
-    const from = this.clock.steady();
+    const startedAt = this.clock.steady();
     const result = this.rounds.plan(this.clock.wall());
     this.write(result);
-    this.roundAt = this.clock.steady();
-    this.roundMs = this.roundAt - from;
-    this.ports.measure('round', this.roundMs);
-    this.pulse.noteStep('round', this.roundMs);
-    this.pulse.logIfDue(result.usable, result.unplacedAfterPreemption);
+    this.lastRoundAt = this.clock.steady();
+    this.lastRoundMs = this.lastRoundAt - startedAt;
+    this.dependencies.measure('round', this.lastRoundMs);
+    this.statusLog.noteStep('round', this.lastRoundMs);
+    this.statusLog.logIfDue(result.usable, result.unplacedAfterPreemption);
     this.snapshotter.compactIfDue();
   }
 
   private write({ entries, starts, unplaced, usable }: RoundPlan): void {
     const upto = this.acknowledgements.processedUpTo(this.state.nextRecord);
     if (entries.length === 0) return;
-    const all: LogEntry[] = upto > this.state.processedUpTo ? [{ e: 'mark', upto }, ...entries] : entries;
+    const toWrite: LogEntry[] = upto > this.state.processedUpTo ? [{ e: 'mark', upto }, ...entries] : entries;
     this.isWritingRound = true;
-    let left = all.length;
-    const done = (): void => {
-      if (--left === 0) this.isWritingRound = false;
+    let remaining = toWrite.length;
+    const settleOne = (): void => {
+      if (--remaining === 0) this.isWritingRound = false;
     };
-    for (const entry of all) this.log.tell({ entries: [entry], onSettled: done });
-    const waiting = unplaced.map(({ job, tasks }) => [job.spec.id, tasks]);
-    this.ports.logger.debug({ starts, unplaced: waiting, usable }, 'round');
+    for (const entry of toWrite) this.log.tell({ entries: [entry], onSettled: settleOne });
+    const unplacedTasks = unplaced.map(({ job, tasks }) => [job.spec.id, tasks]);
+    this.dependencies.logger.debug({ starts, unplaced: unplacedTasks, usable }, 'round');
   }
 
   override stop(): void {
--- a/src/actors/node-pace.ts
+++ b/src/actors/node-pace.ts
@@ -1,58 +1,59 @@
-/** Whether this node keeps up with its work: standstills of the process, and ticks that come late. */
+/** Detects whether this node keeps up with its work: stalls of the process, and late ticks. */
 import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 
-/** Ticks come this often; one that is late by more shows a node that is behind with its work. */
-const TICK_MS = 1000;
+/** Interval of ticks, and the delay beyond which a tick shows that the node is behind with its work. */
+const TICK_INTERVAL_MS = 1000;
 const LATE_TICK_MS = 500;
-/** So long after a late tick the node counts as behind. */
+/** The node counts as behind for this long after a late tick. */
 const BEHIND_MS = 2000;
-/** Nothing ran here for so long: the process stood still, which says nothing about the machines. */
-const STOOD_STILL_MS = 2500;
-/** What queued while the process stood still is read within this time after. */
-const QUEUED_MS = 500;
+/** If nothing was handled for longer than this, the process was stalled: silence then proves nothing. */
+const STALL_MS = 2500;
+/** Messages that queued during a stall are read within this time after it. */
+const QUEUE_DRAIN_MS = 500;
 
+/** Notes activity and ticks of a node. */
 export class StallMonitor {
-  /** Silence of others counts from here on at the earliest: the take-over, or the end of a standstill. */
+  /** Start of the time in which silence of others counts: the take-over, or the end of the last stall. */
   observingSince: SteadyMs;
-  private lastStep: SteadyMs;
-  private wokeAt = -Infinity;
-  private tickedAt = Infinity;
+  private lastActivityAt: SteadyMs;
+  private resumedAt = -Infinity;
+  private lastTickAt = Infinity;
   private behindUntil = -Infinity;
 
   constructor(
     private readonly clock: Clock,
     private readonly logger: Logger,
   ) {
-    this.observingSince = this.lastStep = clock.steady();
+    this.observingSince = this.lastActivityAt = clock.steady();
   }
 
-  /** To be called whenever something is handled. */
+  /** To be called whenever a message is handled. */
   noteActivity(): void {
     const now = this.clock.steady();
-    if (now - this.lastStep > STOOD_STILL_MS) {
-      this.logger.info({ ms: Math.round(now - this.lastStep) }, 'stood still');
+    if (now - this.lastActivityAt > STALL_MS) {
+      this.logger.info({ ms: Math.round(now - this.lastActivityAt) }, 'stood still');
       this.observingSince = now;
-      this.wokeAt = now;
+      this.resumedAt = now;
     }
-    this.lastStep = now;
+    this.lastActivityAt = now;
   }
 
-  /** To be called each second, as near as the node gets to it. */
+  /** To be called each second, as closely as the node manages. */
   tick(): void {
     const now = this.clock.steady();
-    if (now - this.tickedAt > TICK_MS + LATE_TICK_MS) this.behindUntil = now + BEHIND_MS;
-    this.tickedAt = now;
+    if (now - this.lastTickAt > TICK_INTERVAL_MS + LATE_TICK_MS) this.behindUntil = now + BEHIND_MS;
+    this.lastTickAt = now;
   }
 
-  /** Whether more is to be done here than the processor does in time. */
+  /** Whether the node has more work than its processor completes in time. */
   isBehind(): boolean {
     return this.clock.steady() < this.behindUntil;
   }
 
-  /** Whether what arrives now may have queued during a standstill, so that it proves nobody alive. */
+  /** Whether messages that arrive now may have queued during a stall, and prove no sender alive. */
   mayHaveQueued(): boolean {
-    return this.clock.steady() - this.wokeAt <= QUEUED_MS;
+    return this.clock.steady() - this.resumedAt <= QUEUE_DRAIN_MS;
   }
 }
--- a/src/actors/pulse.ts
+++ b/src/actors/pulse.ts
@@ -1,4 +1,4 @@
-/** How things stand on the leader, each ten seconds, for the operator's log. */
+/** Logs the leader's status every ten seconds, for operators. */
 import type { PlacementResult } from '../core/placement.js';
 import type { ClusterState } from '../core/state.js';
 import type { EndCause, LogRecord, SteadyMs, Term } from '../core/types.js';
@@ -6,9 +6,9 @@
 import type { Logger } from '../io/logger.js';
 import type { WorkersActor } from './workers.js';
 
-const PULSE_MS = 10_000;
-/** Jobs without room that are named. */
-const NAMED_WAITING = 8;
+const STATUS_INTERVAL_MS = 10_000;
+/** Largest number of unplaced jobs that a line names. */
+const MAX_NAMED_JOBS = 8;
 
 export interface LeaderStatusLogOptions {
   state: ClusterState;
@@ -16,15 +16,16 @@
   clock: Clock;
   logger: Logger;
   term: Term;
-  /** Of the log's writes so far: how many, and their milliseconds together. */
+  /** The log's writes so far: their number, and their total duration in milliseconds. */
   writes: Readonly<{ count: number; ms: number }>;
 }
 
+/** Collects statistics between two status lines, and logs them. */
 export class LeaderStatusLog {
-  private lastAt: SteadyMs = -Infinity as SteadyMs;
-  /** Ends of tasks since the last pulse, by cause. */
+  private lastLoggedAt: SteadyMs = -Infinity as SteadyMs;
+  /** Tasks that ended since the last line, by cause. */
   private ends: Partial<Record<EndCause, number>> = {};
-  /** The longest steps since the last pulse, in milliseconds: nothing is answered meanwhile. */
+  /** Longest steps since the last line, in milliseconds: the node answers nothing during a step. */
   private longest = { round: 0, fold: 0 };
 
   constructor(private readonly options: LeaderStatusLogOptions) {}
@@ -39,15 +40,15 @@
         for (const [, , , cause] of entry.p) this.ends[cause] = (this.ends[cause] ?? 0) + 1;
   }
 
-  /** Logs how things stand, if it is time. */
-  logIfDue(usable: number, waiting: PlacementResult['unplaced']): void {
+  /** Logs a line if the interval has passed; `unplaced` are the jobs that found no room. */
+  logIfDue(usable: number, unplaced: PlacementResult['unplaced']): void {
     const { clock, logger, state, term, workers, writes } = this.options;
-    if (clock.steady() - this.lastAt <= PULSE_MS) return;
-    this.lastAt = clock.steady();
-    const named = waiting.slice(0, NAMED_WAITING);
+    if (clock.steady() - this.lastLoggedAt <= STATUS_INTERVAL_MS) return;
+    this.lastLoggedAt = clock.steady();
+    const named = unplaced.slice(0, MAX_NAMED_JOBS);
     logger.info(
       {
-        ...{ term, jobs: state.jobs.size, ...this.machineFigures(), usable },
+        ...{ term, jobs: state.jobs.size, ...this.machineCounts(), usable },
         waiting: named.map(({ job, tasks }) => `${job.spec.class} ${job.spec.id}: ${tasks}`),
         worstMs: this.longest,
         writeMs: Math.round(writes.ms / Math.max(1, writes.count)),
@@ -60,20 +61,20 @@
     this.ends = {};
   }
 
-  private machineFigures(): Record<string, number> {
+  private machineCounts(): Record<string, number> {
     const { state, workers } = this.options;
-    const figures = { machines: 0, booting: 0, idle: 0, spot: 0, cpus: 0, running: 0, held: 0 };
+    const counts = { machines: 0, booting: 0, idle: 0, spot: 0, cpus: 0, running: 0, held: 0 };
     for (const machine of state.machines.values()) {
-      figures.machines++;
-      figures.spot += Number(machine.spot);
-      figures.cpus += state.machineTypes.get(machine.type)?.cpus ?? 0;
-      if (machine.session === 0) figures.booting++;
-      else if (machine.live.size === 0) figures.idle++;
-      for (const live of machine.live) {
-        figures.held += live.job.spec.cpus;
-        if (workers.progress.runningSince(live) !== null) figures.running += live.job.spec.cpus;
+      counts.machines++;
+      counts.spot += Number(machine.spot);
+      counts.cpus += state.machineTypes.get(machine.type)?.cpus ?? 0;
+      if (machine.session === 0) counts.booting++;
+      else if (machine.live.size === 0) counts.idle++;
+      for (const attempt of machine.live) {
+        counts.held += attempt.job.spec.cpus;
+        if (workers.progress.runningSince(attempt) !== null) counts.running += attempt.job.spec.cpus;
       }
     }
-    return figures;
+    return counts;
   }
 }
--- a/src/actors/single-flight.ts
+++ b/src/actors/single-flight.ts
@@ -3,8 +3,8 @@
 import { sleep, type Clock } from '../io/clock.js';
 
 /**
- * Runs an operation at most once at a time for all callers. A run that began before a call can't answer
- * it, so who calls during a run shares the next one; runs begin at least `intervalMs` apart.
+ * Runs an operation at most once at a time for all callers. A run that began before a call can't answer it,
+ * so calls during a run share the next one; runs begin at least `intervalMs` apart.
  */
 export class SingleFlight<T> {
   private current: Promise<T> | null = null;
@@ -17,6 +17,7 @@
     private readonly operation: () => Promise<T>,
   ) {}
 
+  /** The result of a run that begins at this call or later. */
   get(): Promise<T> {
     if (!this.current) return (this.current = this.run());
     this.next ??= this.current.then(() => {
