--- a/test/fakes/leadership.ts
+++ b/test/fakes/leadership.ts
@@ -1,21 +1,27 @@
-/** Watches who leads: how long nobody does, how often leadership changes hands, and that no two nodes lead. */
+/**
+ * Measures leadership: how long no node leads, how often the leader changes, and whether two nodes ever lead.
+ */
 import type { World } from './world.js';
 
 const SAMPLE_MS = 50;
 
 export interface LeadershipStatistics {
-  /** Share of the time with a node that is certain to lead. */
+  /** Share of the time in which a node was certain to lead. */
   share: number;
-  /** The longest time without one, in milliseconds. */
+  /** Longest time without such a node, in milliseconds. */
   longestGapMs: number;
-  /** How often another node came to lead. */
+  /** Number of times that another node became the leader. */
   changes: number;
-  /** Moments at which a node was certain to lead while the state service named another, or two were certain. */
+  /**
+   * Samples in which a node was certain to lead while the state service named another, or two nodes were
+   * certain.
+   */
   conflicts: number;
 }
 
+/** Samples the leadership of a world until it is stopped. */
 export class LeadershipMonitor {
-  private readonly from: number;
+  private readonly startedAt: number;
   private ledMs = 0;
   private gapSince: number;
   private longestGapMs = 0;
@@ -28,7 +34,7 @@
     private readonly world: World,
     private readonly sampleMs = SAMPLE_MS,
   ) {
-    this.from = this.gapSince = world.time.now;
+    this.startedAt = this.gapSince = world.time.now;
     this.sample();
   }
 
@@ -36,7 +42,7 @@
     this.stopped = true;
     const { now } = this.world.time;
     return {
-      share: this.ledMs / Math.max(1, now - this.from),
+      share: this.ledMs / Math.max(1, now - this.startedAt),
       longestGapMs: Math.max(this.longestGapMs, now - this.gapSince),
       changes: this.changes,
       conflicts: this.conflicts,
@@ -48,7 +54,7 @@
     const { time } = this.world;
     time.after(this.sampleMs, () => this.sample());
     const leaders = this.leaders();
-    if (leaders.length > 1 || leaders.some((node) => this.isNamedOtherThan(node))) this.conflicts++;
+    if (leaders.length > 1 || leaders.some((node) => this.isAnotherNamed(node))) this.conflicts++;
     const leader = leaders[0];
     if (leader === undefined) {
       this.longestGapMs = Math.max(this.longestGapMs, time.now - this.gapSince);
@@ -67,7 +73,7 @@
     );
   }
 
-  private isNamedOtherThan(node: number): boolean {
+  private isAnotherNamed(node: number): boolean {
     const named = this.world.state.kv.get('q/leader')?.data as { node: string } | undefined;
     return named !== undefined && named.node !== `n${node}`;
   }
--- a/test/fakes/leading.ts
+++ b/test/fakes/leading.ts
@@ -1,3 +1,4 @@
+/** A `WorkersActor` for tests that have no controller. */
 import { WorkersActor } from '../../src/actors/workers.js';
 import type { AppendRequest } from '../../src/actors/log.js';
 import type { ClusterState } from '../../src/core/state.js';
@@ -9,6 +10,7 @@
 /** Report period of the workers, in seconds. */
 export const REPORT_PERIOD_S = 3;
 
+/** What a test supplies; the rest has defaults. */
 export interface WorkersActorFixture {
   state: ClusterState;
   time: VirtualTime;
@@ -18,15 +20,15 @@
   mostCalls?: number;
 }
 
-/** What a leader with a certain lock hears of its workers and tells them. */
-export const createWorkersActor = (of: WorkersActorFixture): WorkersActor =>
+/** The workers actor of a leader with a certain lock. */
+export const createWorkersActor = (fixture: WorkersActorFixture): WorkersActor =>
   new WorkersActor({
-    ...{ state: of.state, call: of.call, logger: silent },
-    log: { tell: of.append ?? (() => {}) } as never,
-    clock: new NodeClock(of.time, 1, 0),
-    term: (of.term ?? 1) as Term,
+    ...{ state: fixture.state, call: fixture.call, logger: silent },
+    log: { tell: fixture.append ?? (() => {}) } as never,
+    clock: new NodeClock(fixture.time, 1, 0),
+    term: (fixture.term ?? 1) as Term,
     reportPeriodS: REPORT_PERIOD_S,
-    maxOpenCalls: of.mostCalls ?? 150,
+    maxOpenCalls: fixture.mostCalls ?? 150,
     isCertain: () => true,
     mayAnswerUncertain: () => true,
     onFactWritten: () => {},
