--- a/src/actors/lock.ts
+++ b/src/actors/lock.ts
@@ -38,7 +38,7 @@
 }
 
 /** Holder of the leader key, as far as it could be read. */
-type Holder = { who: 'us'; version: Version } | { who: 'another' | 'nobody' | 'unknown' };
+type Holder = { who: 'self'; version: Version } | { who: 'other' | 'none' | 'unknown' };
 const NOT_READ: Holder = { who: 'unknown' };
 
 export interface LockOptions {
@@ -149,8 +149,8 @@
     ]);
     // The transaction may have been carried out although its answer is late or lost: the key shows it.
     const earlyHolder = isInTime ? NOT_READ : await this.readHolder(lease, term);
-    if (earlyHolder.who === 'us') return earlyHolder.version;
-    if (earlyHolder.who === 'another') return null;
+    if (earlyHolder.who === 'self') return earlyHolder.version;
+    if (earlyHolder.who === 'other') return null;
     const result = await answer;
     if (result.outcome === 'done') return result.revision;
     return result.outcome === 'unknown' ? this.readOwnVersion(lease, term) : null;
@@ -173,7 +173,7 @@
   private async readOwnVersion(lease: LeaseId, term: Term): Promise<Version | null> {
     for (let reads = 0; reads < MAX_READS; reads++) {
       const holder = await this.readHolder(lease, term);
-      if (holder.who === 'us') return holder.version;
+      if (holder.who === 'self') return holder.version;
       if (holder.who !== 'unknown') return null;
       await sleep(this.options.clock, READ_INTERVAL_MS);
     }
@@ -184,10 +184,10 @@
     const { leaseDurationMs, identity, store } = this.options;
     const item = await store.get(LEADER_KEY, leaseDurationMs);
     if (item === undefined) return NOT_READ;
-    if (item === null) return { who: 'nobody' };
+    if (item === null) return { who: 'none' };
     const value = readLeaderValue(item.value);
-    const isOurs = value?.run === identity.run && value.term === term && item.leaseId === lease;
-    return isOurs ? { who: 'us', version: item.version } : { who: 'another' };
+    const isOwn = value?.run === identity.run && value.term === term && item.leaseId === lease;
+    return isOwn ? { who: 'self', version: item.version } : { who: 'other' };
   }
 
   /** Notes that the lock is lost: another node leads, or may lead. */
--- a/test/giving-way.test.ts
+++ b/test/giving-way.test.ts
@@ -100,7 +100,7 @@
   expect(GAVE_WAY_EXCLUSION_MS).toBe(60_000));
 
 describe('a leader that no worker reaches', () => {
-  const reach = (claims: () => ReachClaim[] = () => []) => {
+  const createReachability = (claims: () => ReachClaim[] = () => []) => {
     const time = new VirtualTime();
     const claimsReader = { read: () => Promise.resolve(claims()) };
     const clock = new NodeClock(time, 1, 0);
@@ -112,7 +112,7 @@
   /** Checks every 250 ms; returns the reason to release the lock and its time, or null. */
   const releasedWithin = async (
     ms: number,
-    { time, reachability }: ReturnType<typeof reach>,
+    { time, reachability }: ReturnType<typeof createReachability>,
     peers: () => ReceivedStatus[],
   ): Promise<{ why: string; at: number } | null> => {
     for (; time.now < ms; await time.run(250)) {
@@ -121,38 +121,44 @@
     }
     return null;
   };
-  const other = peer({ node: 'n2' });
+  const otherPeer = peer({ node: 'n2' });
 
   it('hands over to a peer that workers contact although it redirects them to this node', async () => {
-    const release = await releasedWithin(CHECKED_MS, reach(), () => [peer({ workers: 3 }), other]);
+    const release = await releasedWithin(CHECKED_MS, createReachability(), () => [
+      peer({ workers: 3 }),
+      otherPeer,
+    ]);
     expect(release).toMatchObject({ at: 2000 });
     expect(release?.why).toContain('workers reach a peer');
   });
 
   it('keeps the lock without such a peer: not contacted, in another term, silent, or gone', async () => {
     const cases: (() => ReceivedStatus[])[] = [
-      () => [peer(), other],
-      () => [peer({ workers: 3, leaderTerm: TERM - 1 }), other],
-      () => [peer({ workers: 3 }, 4000), other],
+      () => [peer(), otherPeer],
+      () => [peer({ workers: 3, leaderTerm: TERM - 1 }), otherPeer],
+      () => [peer({ workers: 3 }, 4000), otherPeer],
       () => [],
     ];
-    for (const peers of cases) expect(await releasedWithin(CHECKED_MS, reach(), peers)).toBeNull();
+    for (const peers of cases)
+      expect(await releasedWithin(CHECKED_MS, createReachability(), peers)).toBeNull();
   });
 
   it('hands over, when cut off from its peers, to one that keeps writing reach claims', async () => {
     let version = 10;
     const claims = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version: ++version }];
-    expect((await releasedWithin(CHECKED_MS, reach(claims), () => []))?.why).toContain('get through');
+    expect((await releasedWithin(CHECKED_MS, createReachability(claims), () => []))?.why).toContain(
+      'get through',
+    );
   });
 
   it('ignores claims that do not change, or that are of another term', async () => {
     let version = 10;
     const unchanged = (): ReachClaim[] => [{ node: 'n1', term: TERM, workers: 2, version }];
-    expect(await releasedWithin(CHECKED_MS, reach(unchanged), () => [])).toBeNull();
+    expect(await releasedWithin(CHECKED_MS, createReachability(unchanged), () => [])).toBeNull();
     const ofAnotherTerm = (): ReachClaim[] => [
       { node: 'n1', term: TERM - 1, workers: 2, version: ++version },
     ];
-    expect(await releasedWithin(CHECKED_MS, reach(ofAnotherTerm), () => [])).toBeNull();
+    expect(await releasedWithin(CHECKED_MS, createReachability(ofAnotherTerm), () => [])).toBeNull();
   });
 });
 
