--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -1,52 +1,60 @@
-/** The order in which jobs claim room, and how much of it their teams may use. */
+/** The order in which jobs claim resources, and how much their teams may use. */
 import type { Job } from './model.js';
 import type { ClusterState } from './state.js';
 import { RESOURCE_EPSILON, priorityRank, type Team } from './types.js';
 
+/** An unfinished job's claim to resources. */
 export interface Claim {
   job: Job;
+  /** Whether the job and all earlier jobs of its team fit into the team's guarantee. */
   guaranteed: boolean;
 }
 
 /**
- * Jobs in order of their claim: guarantees first, then what never got a place, then priority, then
- * those that can still be in time, then age.
+ * Claims of all unfinished jobs in the order in which they are served: jobs within their team's guarantee
+ * first, then starving jobs, then by priority, then jobs that can still meet their objective, then by age.
  */
 export function orderClaims(
   state: ClusterState,
   teams: readonly Team[],
-  /** Jobs that will miss their aim whatever is done now. */
-  hopeless: (j: Job) => boolean,
-  /** Jobs of which nothing ever started, for too long: they come before what is only more urgent. */
-  starving: (j: Job) => boolean = () => false,
+  /** Whether a job will miss its objective whatever is done now. */
+  isTooLate: (job: Job) => boolean,
+  /** Whether a job has waited for too long without any start; it goes before jobs of higher priority. */
+  isStarving: (job: Job) => boolean = () => false,
 ): Claim[] {
-  const sum = new Map<string, { cpus: number; gpus: number }>();
-  const out: Claim[] = [];
+  /** Resources that the jobs of each team ask for, added up in order of submission. */
+  const requested = new Map<string, { cpus: number; gpus: number }>();
+  const claims: Claim[] = [];
   for (const job of [...state.jobs.values()].sort((a, b) => a.order - b.order)) {
     if (job.withdrawn || state.outcomes.has(job.spec.id)) continue;
-    const team = teams.find((t) => t.name === job.spec.team);
+    const team = teams.find((one) => one.name === job.spec.team);
     if (!team) continue;
-    const s = sum.get(team.name) ?? { cpus: 0, gpus: 0 };
-    const left = job.spec.tasks - job.done;
-    const c = s.cpus + job.spec.cpus * left;
-    const g = s.gpus + job.spec.gpus * left;
-    sum.set(team.name, { cpus: c, gpus: g });
-    out.push({ job, guaranteed: c <= team.cpus + RESOURCE_EPSILON && g <= team.gpus + RESOURCE_EPSILON });
+    const earlier = requested.get(team.name) ?? { cpus: 0, gpus: 0 };
+    const unfinished = job.spec.tasks - job.done;
+    const cpuSum = earlier.cpus + job.spec.cpus * unfinished;
+    const gpuSum = earlier.gpus + job.spec.gpus * unfinished;
+    requested.set(team.name, { cpus: cpuSum, gpus: gpuSum });
+    claims.push({
+      job,
+      guaranteed: cpuSum <= team.cpus + RESOURCE_EPSILON && gpuSum <= team.gpus + RESOURCE_EPSILON,
+    });
   }
-  return out.sort(
+  return claims.sort(
     (a, b) =>
       Number(b.guaranteed) - Number(a.guaranteed) ||
-      Number(starving(b.job)) - Number(starving(a.job)) ||
+      Number(isStarving(b.job)) - Number(isStarving(a.job)) ||
       priorityRank[b.job.spec.priority] - priorityRank[a.job.spec.priority] ||
-      Number(hopeless(a.job)) - Number(hopeless(b.job)) ||
+      Number(isTooLate(a.job)) - Number(isTooLate(b.job)) ||
       a.job.order - b.job.order,
   );
 }
 
-/** How many more tasks of the job its team's limit allows; all that may be anywhere counts. */
-export function tasksWithinLimit(job: Job, team: Team, use: { cpus: number; gpus: number }): number {
-  const s = job.spec;
-  const c = s.cpus > 0 ? Math.floor((team.cpusMax - use.cpus + RESOURCE_EPSILON) / s.cpus) : Infinity;
-  const g = s.gpus > 0 ? Math.floor((team.gpusMax - use.gpus + RESOURCE_EPSILON) / s.gpus) : Infinity;
-  return Math.max(0, Math.min(c, g));
+/** How many more tasks of the job its team's limit allows; `usage` includes all tasks that may still run. */
+export function tasksWithinLimit(job: Job, team: Team, usage: { cpus: number; gpus: number }): number {
+  const spec = job.spec;
+  const byCpus =
+    spec.cpus > 0 ? Math.floor((team.cpusMax - usage.cpus + RESOURCE_EPSILON) / spec.cpus) : Infinity;
+  const byGpus =
+    spec.gpus > 0 ? Math.floor((team.gpusMax - usage.gpus + RESOURCE_EPSILON) / spec.gpus) : Infinity;
+  return Math.max(0, Math.min(byCpus, byGpus));
 }
--- a/src/core/fill.ts
+++ b/src/core/fill.ts
@@ -1,76 +1,81 @@
-/** Finds room for tasks of one job among machines that take it. */
+/** Allocates machines to the tasks of one job: the best of a few sampled machines, then the best of all. */
 import { addTo, fits } from './resources.js';
 import { hasImage, placementCost, slotCount, type Candidate } from './rooms.js';
 import type { Job } from './model.js';
 
+/** Source of random numbers. */
 export interface Random {
-  /** A whole number from 0 to n-1. */
-  intBelow(n: number): number;
+  /** Returns an integer from 0 (inclusive) to `limit` (exclusive). */
+  intBelow(limit: number): number;
 }
 
-/** So many tasks on one machine. */
+/** A number of a job's tasks on one machine. */
 export interface Allocation {
   candidate: Candidate;
   taskCount: number;
 }
 
 /**
- * Finds room for n like tasks: as many as a machine holds are one decision. The best of a few
- * sampled machines while they do; then all machines, ranked once for the whole class.
+ * Allocates resources to up to `taskCount` identical tasks and takes them from the candidates. Each chosen
+ * machine gets as many tasks as fit. Uses the best of a few sampled machines while that succeeds, then ranks
+ * all once.
  */
 export function allocate(
-  pool: Candidate[],
+  candidates: Candidate[],
   job: Job,
-  n: number,
-  sample: number,
+  taskCount: number,
+  sampleSize: number,
   random: Random,
-  fragile: boolean,
-  /** How many more the zone may take. */
-  zoneLeft: (zone: string) => number,
+  restartCritical: boolean,
+  /** How many more tasks of the job a zone may take. */
+  zoneAllowance: (zone: string) => number,
 ): Allocation[] {
-  const s = job.spec;
-  const out: Allocation[] = [];
-  let left = n;
-  const put = (r: Candidate): void => {
-    const k = Math.min(
-      left,
-      slotCount(r, s),
-      zoneLeft(r.machine.zone) - taken(out, r.machine.zone, s.spread),
+  const spec = job.spec;
+  const allocations: Allocation[] = [];
+  let remaining = taskCount;
+  const allocateOn = (target: Candidate): void => {
+    const count = Math.min(
+      remaining,
+      slotCount(target, spec),
+      zoneAllowance(target.machine.zone) - allocatedInZone(allocations, target.machine.zone, spec.spread),
     );
-    if (k <= 0) return;
-    addTo(r, s, -k);
-    left -= k;
-    out.push({ candidate: r, taskCount: k });
+    if (count <= 0) return;
+    addTo(target, spec, -count);
+    remaining -= count;
+    allocations.push({ candidate: target, taskCount: count });
   };
-  const warm = pool.some((r) => hasImage(r, job));
-  for (let misses = 0; left > 0 && misses < 2 && pool.length > sample;) {
-    let b: Candidate | null = null;
-    let bs = Infinity;
-    for (let i = 0; i < sample; i++) {
-      const r = pool[random.intBelow(pool.length)]!;
-      if (!fits(r, s)) continue;
-      const c = placementCost(r, job, fragile);
-      if (c < bs) [b, bs] = [r, c];
+  const anyHasImage = candidates.some((candidate) => hasImage(candidate, job));
+  for (let misses = 0; remaining > 0 && misses < 2 && candidates.length > sampleSize;) {
+    let best: Candidate | null = null;
+    let lowestCost = Infinity;
+    for (let i = 0; i < sampleSize; i++) {
+      const candidate = candidates[random.intBelow(candidates.length)]!;
+      if (!fits(candidate, spec)) continue;
+      const cost = placementCost(candidate, job, restartCritical);
+      if (cost < lowestCost) [best, lowestCost] = [candidate, cost];
     }
-    // A sampled machine without the image only does when none has it.
-    if (b && (hasImage(b, job) || !warm)) {
-      const was = left;
-      put(b);
-      if (left < was) continue;
+    // A sampled machine without the image is accepted only if no candidate has the image.
+    if (best && (hasImage(best, job) || !anyHasImage)) {
+      const before = remaining;
+      allocateOn(best);
+      if (remaining < before) continue;
     }
     misses++;
   }
-  if (left === 0) return out;
-  const ranked = pool
-    .filter((r) => fits(r, s))
-    .map((r) => ({ r, c: placementCost(r, job, fragile) }))
-    .sort((a, b) => a.c - b.c);
-  for (const { r } of ranked) {
-    if (left === 0) break;
-    put(r);
+  if (remaining === 0) return allocations;
+  const ranked = candidates
+    .filter((candidate) => fits(candidate, spec))
+    .map((candidate) => ({ candidate, cost: placementCost(candidate, job, restartCritical) }))
+    .sort((a, b) => a.cost - b.cost);
+  for (const { candidate } of ranked) {
+    if (remaining === 0) break;
+    allocateOn(candidate);
   }
-  return out;
+  return allocations;
 }
 
-const taken = (shares: Allocation[], zone: string, counts: boolean): number =>
-  counts ? shares.reduce((a, x) => a + (x.candidate.machine.zone === zone ? x.taskCount : 0), 0) : 0;
+/** Tasks allocated in the zone so far, counted only for a job that is to be spread over zones. */
+const allocatedInZone = (allocations: Allocation[], zone: string, isSpread: boolean): number =>
+  isSpread
+    ? allocations.reduce((sum, x) => sum + (x.candidate.machine.zone === zone ? x.taskCount : 0), 0)
+    : 0;
--- a/src/core/policy.ts
+++ b/src/core/policy.ts
@@ -1,17 +1,18 @@
+/** Decisions on renting and returning machines that operators may override with a policy file. */
 import type { JobSpec, MachineType } from './types.js';
 
-/** What operators may set beyond the platform's file. */
 export interface Policy {
-  /** Seconds that a machine may have nothing to do before it is given back. */
-  idleTimeoutS(m: { zone: string; spot: boolean; type: MachineType | undefined }): number;
+  /** Seconds without tasks after which a machine is returned. */
+  idleTimeoutS(machine: { zone: string; spot: boolean; type: MachineType | undefined }): number;
   /** Whether spot machines are rented for a job that allows them. */
-  rentSpot(s: JobSpec): boolean;
-  /** Seconds without a report after which a machine is given back. */
-  silenceTimeoutS(m: { zone: string; spot: boolean; type: MachineType | undefined }): number;
+  rentSpot(spec: JobSpec): boolean;
+  /** Seconds without a report after which a machine is returned. */
+  silenceTimeoutS(machine: { zone: string; spot: boolean; type: MachineType | undefined }): number;
 }
 
+/** The policy where no policy file sets another value. */
 export const defaultPolicy: Policy = {
-  idleTimeoutS: (m) => (m.spot ? 40 : 15),
+  idleTimeoutS: (machine) => (machine.spot ? 40 : 15),
   rentSpot: () => true,
   silenceTimeoutS: () => 11,
 };
--- a/src/core/reserve.ts
+++ b/src/core/reserve.ts
@@ -1,65 +1,78 @@
-/** Keeps room that is being made, or that a gang gathers, for the claim that it is meant for. */
+/** Reserves resources that are being released, or that a gang gathers, for the job that waits for them. */
 import type { Allocation } from './fill.js';
 import type { Job, Machine } from './model.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { slotCount, type Candidate } from './rooms.js';
 
 /**
- * Sets aside room that tasks are leaving; a gang's as a whole or not at all, but for the places
- * that are free already: those are held for the first gang that needs them, or it would starve
- * behind small work that fills each of them as it comes free.
+ * Reserves resources that tasks being stopped will release; for a gang only if they suffice for all of its
+ * tasks. Otherwise a gang reserves the places that are free already, or it would starve behind small tasks
+ * that take each place as soon as it becomes free. Returns how many tasks have a place, and the zone of a
+ * one-zone job's places.
  */
 export function reserve(
-  open: Candidate[],
-  freeing: Candidate[],
+  feasible: Candidate[],
+  releasing: Candidate[],
   job: Job,
-  tasks: number,
-  /** Machines that could be emptied for a gang that waits for too long. */
+  taskCount: number,
+  /** Machines that may be drained for a gang that has waited for too long. */
   drainable: Candidate[],
-  /** How many of its tasks a zone could hold. */
-  could: (zone: string) => number,
-  held: Set<Machine>,
-): { n: number; zone: string | null } {
-  const s = job.spec;
-  if (s.spread) return { n: 0, zone: null };
-  const take = (from: Candidate[], of: (r: Candidate) => Resources): Allocation[] => {
-    const shares: Allocation[] = [];
-    let left = tasks;
-    for (const r of from) {
+  /** How many of the job's tasks a zone could hold if all its machines were empty. */
+  zoneCapacity: (zone: string) => number,
+  /** Machines reserved for gangs; those reserved here are added. */
+  reserved: Set<Machine>,
+): { taskCount: number; zone: string | null } {
+  const spec = job.spec;
+  if (spec.spread) return { taskCount: 0, zone: null };
+  const take = (from: Candidate[], resourcesOf: (candidate: Candidate) => Resources): Allocation[] => {
+    const taken: Allocation[] = [];
+    let left = taskCount;
+    for (const target of from) {
       if (left === 0) break;
-      if (s.oneZone && shares.length > 0 && shares[0]!.candidate.machine.zone !== r.machine.zone) continue;
-      const n = Math.min(left, slotCount(of(r), s));
-      if (n === 0) continue;
-      addTo(r, s, -n);
-      left -= n;
-      shares.push({ candidate: r, taskCount: n });
+      if (spec.oneZone && taken.length > 0 && taken[0]!.candidate.machine.zone !== target.machine.zone)
+        continue;
+      const count = Math.min(left, slotCount(resourcesOf(target), spec));
+      if (count === 0) continue;
+      addTo(target, spec, -count);
+      left -= count;
+      taken.push({ candidate: target, taskCount: count });
     }
-    return shares;
+    return taken;
   };
-  const sum = (x: Allocation[]): { n: number; zone: string | null } => ({
-    n: x.reduce((a, y) => a + y.taskCount, 0),
-    zone: s.oneZone ? (x[0]?.candidate.machine.zone ?? null) : null,
+  const summarize = (allocations: Allocation[]): { taskCount: number; zone: string | null } => ({
+    taskCount: allocations.reduce((sum, allocation) => sum + allocation.taskCount, 0),
+    zone: spec.oneZone ? (allocations[0]?.candidate.machine.zone ?? null) : null,
   });
-  const shares = take(freeing, (r) => sumOf(r, r.releasing));
-  if (!s.gang || sum(shares).n === tasks) return sum(shares);
-  for (const x of shares) addTo(x.candidate, s, x.taskCount);
-  // The zone that already has most of what the gang needs, or that could have it.
-  const by = new Map<string, number>();
-  for (const r of drainable) by.set(r.machine.zone, (by.get(r.machine.zone) ?? 0) + 0.01);
-  for (const r of open) by.set(r.machine.zone, (by.get(r.machine.zone) ?? 0) + slotCount(r, s));
-  // Holding or emptying machines of a zone that could not take the gang were all of them empty serves nobody.
-  const most = new Map([...by.keys()].map((z) => [z, Math.min(tasks, could(z))]));
-  const zone = [...by].sort((a, b) => most.get(b[0])! - most.get(a[0])! || b[1] - a[1])[0]?.[0];
-  const here = (r: Candidate): boolean => !s.oneZone || r.machine.zone === zone;
-  const places = take(open.filter(here), (r) => r);
-  for (const x of places) held.add(x.candidate.machine);
-  const found = sum(places);
-  // The emptiest get no new work until they are empty.
-  const rest = drainable.filter((r) => here(r) && !fits(r, s));
-  rest.sort((a, b) => b.cpus - a.cpus);
-  for (const r of rest.slice(0, tasks - found.n)) {
-    r.cpus = 0;
-    held.add(r.machine);
+  const released = take(releasing, (candidate) => sumOf(candidate, candidate.releasing));
+  if (!spec.gang || summarize(released).taskCount === taskCount) return summarize(released);
+  for (const allocation of released) addTo(allocation.candidate, spec, allocation.taskCount);
+  // Free places per zone; a machine that can be drained counts as a small part of one.
+  const placesIn = new Map<string, number>();
+  for (const candidate of drainable)
+    placesIn.set(candidate.machine.zone, (placesIn.get(candidate.machine.zone) ?? 0) + 0.01);
+  for (const candidate of feasible)
+    placesIn.set(
+      candidate.machine.zone,
+      (placesIn.get(candidate.machine.zone) ?? 0) + slotCount(candidate, spec),
+    );
+  // The zone that could hold most of the gang comes first, then the one with the most free places. Reserving
+  // or draining machines helps nobody in a zone that could not hold the gang even if all of them were empty.
+  const capacityOf = new Map(
+    [...placesIn.keys()].map((name) => [name, Math.min(taskCount, zoneCapacity(name))]),
+  );
+  const zone = [...placesIn].sort(
+    (a, b) => capacityOf.get(b[0])! - capacityOf.get(a[0])! || b[1] - a[1],
+  )[0]?.[0];
+  const isInZone = (candidate: Candidate): boolean => !spec.oneZone || candidate.machine.zone === zone;
+  const places = take(feasible.filter(isInZone), (candidate) => candidate);
+  for (const place of places) reserved.add(place.candidate.machine);
+  const result = summarize(places);
+  // The machines with the most free CPUs get no new work until they are empty.
+  const toDrain = drainable.filter((candidate) => isInZone(candidate) && !fits(candidate, spec));
+  toDrain.sort((a, b) => b.cpus - a.cpus);
+  for (const candidate of toDrain.slice(0, taskCount - result.taskCount)) {
+    candidate.cpus = 0;
+    reserved.add(candidate.machine);
   }
-  return found;
+  return result;
 }
--- a/src/core/resources.ts
+++ b/src/core/resources.ts
@@ -1,22 +1,24 @@
+/** Arithmetic of resource amounts. */
 import { RESOURCE_EPSILON } from './types.js';
 
-/** What a task takes of its machine, or a machine has to give. */
+/** Resources that a task requests, or that a machine offers. */
 export interface Resources {
   cpus: number;
   gpus: number;
   mem: number;
 }
 
-export const fits = (room: Resources, need: Resources): boolean =>
-  room.cpus + RESOURCE_EPSILON >= need.cpus &&
-  room.gpus + RESOURCE_EPSILON >= need.gpus &&
-  room.mem + RESOURCE_EPSILON >= need.mem;
+/** Whether the free resources satisfy the request. */
+export const fits = (free: Resources, request: Resources): boolean =>
+  free.cpus + RESOURCE_EPSILON >= request.cpus &&
+  free.gpus + RESOURCE_EPSILON >= request.gpus &&
+  free.mem + RESOURCE_EPSILON >= request.mem;
 
-/** Adds to a room, n times over; a negative n takes from it. */
-export function addTo(room: Resources, what: Resources, n = 1): void {
-  room.cpus += n * what.cpus;
-  room.gpus += n * what.gpus;
-  room.mem += n * what.mem;
+/** Adds an amount to `target` in place, `times` times; a negative `times` subtracts. */
+export function addTo(target: Resources, amount: Resources, times = 1): void {
+  target.cpus += times * amount.cpus;
+  target.gpus += times * amount.gpus;
+  target.mem += times * amount.mem;
 }
 
 export const sumOf = (a: Resources, b: Resources): Resources => ({
--- a/src/core/rooms.ts
+++ b/src/core/rooms.ts
@@ -1,103 +1,117 @@
-/** What each machine has free in one round, and how well it suits a job. */
+/** Machines as placement candidates of one scheduling round: free resources, constraints, placement cost. */
 import type { Job, Machine } from './model.js';
 import { fits, type Resources } from './resources.js';
 import { RESOURCE_EPSILON, type JobSpec, type WallMs } from './types.js';
 
+/** A machine as a placement candidate; `cpus`, `gpus` and `mem` are what the round has left free on it. */
 export interface Candidate extends Resources {
   machine: Machine;
-  /** Images that are being fetched, or will be after this round, and the seconds that each needs yet; they may share the machine's rate. */
+  /**
+   * Seconds left for each image that the machine is fetching, or will fetch after this round. Fetches may
+   * share the machine's fetch rate.
+   */
   fetches: Map<string, number>;
-  /** A gang is fetching: all its machines wait for the slowest. */
+  /** Whether a gang is fetching its image here; all machines of the gang wait for the slowest fetch. */
   isGangFetching: boolean;
-  /** GB a second. */
+  /** GB per second. */
   fetchRate: number;
   totalCpus: number;
-  /** Of a type that is the only one for some of the work. */
+  /** Whether the machine's type is the only one that fits some unfinished job. */
   isSoleFit: boolean;
-  /** A gang waits for it. */
+  /** Whether the previous round reserved the machine for a gang. */
   isReserved: boolean;
-  /** Something runs here, or will after this round. */
+  /** Whether tasks run here, or will after this round. */
   isOccupied: boolean;
-  /** What tasks that are being stopped will leave. */
+  /** Resources that tasks being stopped will release. */
   releasing: Resources;
 }
 
-/** Whether the image is there, or will be after this round. */
-export const hasImage = (r: Candidate, j: Job): boolean =>
-  r.machine.images.has(j.spec.image) || r.fetches.has(j.spec.image);
+/** Whether the machine has the job's image, or will have it once the recorded fetches end. */
+export const hasImage = (candidate: Candidate, job: Job): boolean =>
+  candidate.machine.images.has(job.spec.image) || candidate.fetches.has(job.spec.image);
 
-/** Guards wrong_place: type, zone and kind of machine. */
-export const meetsConstraints = (j: Job, m: { type: string; zone: string; spot: boolean }): boolean =>
-  (!j.spec.types || j.spec.types.includes(m.type)) &&
-  (!j.spec.zone || m.zone === j.spec.zone) &&
-  (j.spec.spot || !m.spot);
+/** Upholds wrong_place: checks a machine's type, zone and spot market against the job's constraints. */
+export const meetsConstraints = (job: Job, machine: { type: string; zone: string; spot: boolean }): boolean =>
+  (!job.spec.types || job.spec.types.includes(machine.type)) &&
+  (!job.spec.zone || machine.zone === job.spec.zone) &&
+  (job.spec.spot || !machine.spot);
 
-/** Jobs that may go to the same machines have the same. */
-export const constraintKey = (s: JobSpec): string => `${s.types?.join() ?? ''}|${s.zone ?? ''}|${s.spot}`;
+/** Equal for jobs with the same placement constraints. */
+export const constraintKey = (spec: JobSpec): string =>
+  `${spec.types?.join() ?? ''}|${spec.zone ?? ''}|${spec.spot}`;
 
-/** Needs of a kind that nothing met this round: what needs as much or more is not sought again. */
+/** Requests that no machine could satisfy in this round; requests at least as large are not tried again. */
 export class InfeasibleRequests {
-  private readonly needs = new Map<string, Resources[]>();
+  private readonly requests = new Map<string, Resources[]>();
 
-  has(kind: string, need: Resources): boolean {
-    return this.needs.get(kind)?.some((n) => fits(need, n)) ?? false;
+  /** Whether a request under this key that asked for no more is known to be infeasible. */
+  has(key: string, request: Resources): boolean {
+    return this.requests.get(key)?.some((infeasible) => fits(request, infeasible)) ?? false;
   }
 
-  add(kind: string, need: Resources): void {
-    const of = this.needs.get(kind) ?? [];
-    this.needs.set(kind, of);
-    of.push(need);
+  add(key: string, request: Resources): void {
+    const requests = this.requests.get(key) ?? [];
+    this.requests.set(key, requests);
+    requests.push(request);
   }
 }
 
-/** Whether all tasks must start together, on several machines perhaps. */
-export const isMultiTaskGang = (s: JobSpec): boolean => s.gang && s.tasks > 1;
+/** Whether the job has several tasks that must start together. */
+export const isMultiTaskGang = (spec: JobSpec): boolean => spec.gang && spec.tasks > 1;
 
-/** Seconds until the image is there; for a gang, whose machines wait for the slowest, if fetches share the rate. */
-function imageWait(r: Candidate, j: Job): number {
-  const has = hasImage(r, j);
-  let s = has ? 0 : j.spec.imageGb / r.fetchRate;
-  if (isMultiTaskGang(j.spec) && (!has || r.fetches.has(j.spec.image)))
-    for (const left of r.fetches.values()) s += left;
-  return s;
+/**
+ * Seconds until the job's image is available. For a gang, whose machines wait for the slowest, the machine's
+ * fetches are added up, as if they shared its fetch rate.
+ */
+function fetchDelay(candidate: Candidate, job: Job): number {
+  const isPresent = hasImage(candidate, job);
+  let seconds = isPresent ? 0 : job.spec.imageGb / candidate.fetchRate;
+  if (isMultiTaskGang(job.spec) && (!isPresent || candidate.fetches.has(job.spec.image)))
+    for (const secondsLeft of candidate.fetches.values()) seconds += secondsLeft;
+  return seconds;
 }
 
-/** Guards a gang's fetch, which all its machines wait for, against sharing the rate with another. */
-export const delaysGangFetch = (r: Candidate, j: Job): boolean => r.isGangFetching && !hasImage(r, j);
+/**
+ * Whether the job's image fetch would share the fetch rate with that of a gang; all machines of the gang
+ * would wait for it.
+ */
+export const delaysGangFetch = (candidate: Candidate, job: Job): boolean =>
+  candidate.isGangFetching && !hasImage(candidate, job);
 
 /**
- * Smaller is better, in about seconds: the image's fetch, waking a machine that could be given
- * back, paying the full price, and the room left over.
+ * Cost of running a task of the job on this machine, roughly in seconds; lower is better. Sums up the image
+ * fetch, the use of an empty machine that could be returned, the on-demand price or the risk of a spot
+ * machine, and the CPUs left over.
  */
-export const placementCost = (r: Candidate, j: Job, fragile: boolean): number =>
-  imageWait(r, j) +
-  (r.isOccupied ? 0 : 12) +
-  // A gang loses with any one of its machines what all of them did.
-  (r.machine.spot ? (j.spec.gang ? Math.min(j.spec.tasks, 12) : fragile ? 15 : 0) : 4) +
-  // Room that only larger work needs is left to it.
-  (r.isSoleFit && !j.spec.gang && !r.machine.spot ? 15 : 0) +
-  (r.isReserved && !isMultiTaskGang(j.spec) ? 20 : 0) +
-  ((r.cpus - j.spec.cpus) / r.totalCpus) * 6;
+export const placementCost = (candidate: Candidate, job: Job, restartCritical: boolean): number =>
+  fetchDelay(candidate, job) +
+  (candidate.isOccupied ? 0 : 12) +
+  // A gang that loses any one of its machines loses the work of all its tasks.
+  (candidate.machine.spot ? (job.spec.gang ? Math.min(job.spec.tasks, 12) : restartCritical ? 15 : 0) : 4) +
+  // Machines of a type that some job depends on are left to jobs that need them.
+  (candidate.isSoleFit && !job.spec.gang && !candidate.machine.spot ? 15 : 0) +
+  (candidate.isReserved && !isMultiTaskGang(job.spec) ? 20 : 0) +
+  ((candidate.cpus - job.spec.cpus) / candidate.totalCpus) * 6;
 
 /**
- * A job that is in time now and would not be if a task had to start anew: a machine that can be
- * taken away is a bad place for what saves nothing.
+ * Whether a job without checkpoints can still meet its objective, but would miss it if a task had to start
+ * over. Spot machines, which the cloud may take back, are a poor choice for such a job.
  */
-export const isRestartCritical = (j: Job, now: WallMs, within: number): boolean => {
-  const left = within - (now - j.at) / 1000;
-  const run = j.spec.estimate;
-  return j.spec.checkpoint === 0 && within > 0 && left > run && left < 2 * run + 40;
+export const isRestartCritical = (job: Job, now: WallMs, objectiveS: number): boolean => {
+  const leftS = objectiveS - (now - job.at) / 1000;
+  const runS = job.spec.estimate;
+  return job.spec.checkpoint === 0 && objectiveS > 0 && leftS > runS && leftS < 2 * runS + 40;
 };
 
-/** How many like tasks a room holds. */
-export const slotCount = (r: Resources, s: Resources): number =>
+/** Number of tasks with the same request that fit into the free resources. */
+export const slotCount = (free: Resources, request: Resources): number =>
   Math.max(
     0,
     Math.floor(
       Math.min(
-        s.cpus > 0 ? (r.cpus + RESOURCE_EPSILON) / s.cpus : Infinity,
-        s.gpus > 0 ? (r.gpus + RESOURCE_EPSILON) / s.gpus : Infinity,
-        s.mem > 0 ? (r.mem + RESOURCE_EPSILON) / s.mem : Infinity,
+        request.cpus > 0 ? (free.cpus + RESOURCE_EPSILON) / request.cpus : Infinity,
+        request.gpus > 0 ? (free.gpus + RESOURCE_EPSILON) / request.gpus : Infinity,
+        request.mem > 0 ? (free.mem + RESOURCE_EPSILON) / request.mem : Infinity,
       ),
     ),
   );
--- a/src/core/zones.ts
+++ b/src/core/zones.ts
@@ -1,11 +1,11 @@
-/** In which zones a job's tasks are, and may go. */
+/** Zones that a job's tasks occupy, and zones that they may be placed in. */
 import type { Job } from './model.js';
 import { placementCost, slotCount, type Candidate } from './rooms.js';
 
-/** Of zones for a one-zone job, one place more outweighs any score of machines. */
+/** When zones are compared for a one-zone job, one more free place outweighs any placement cost. */
 const PLACE_WEIGHT = 2000;
 
-/** A job's present tasks by zone, where their zones matter. */
+/** The number of present tasks per zone, for jobs with a rule on zones; empty for all others. */
 export function tasksPerZone(job: Job): Map<string, number> {
   const perZone = new Map<string, number>();
   if (!job.spec.oneZone && !job.spec.spread) return perZone;
@@ -15,24 +15,26 @@
 }
 
 /**
- * The zones to try, the best first; [null] is all of them together.
- * Guards wrong_place: tasks of a one-zone job stay with those that may still run. Null: they are in two already.
+ * Zones to try for a job, the best first; `[null]` stands for all zones together. Null if the tasks of a
+ * one-zone job are in more than one zone already.
+ * Upholds wrong_place: further tasks of a one-zone job go to the zone of those that may still run.
  */
 export function candidateZones(
   job: Job,
   perZone: ReadonlyMap<string, number>,
-  open: Candidate[],
-  fragile: boolean,
+  candidates: Candidate[],
+  restartCritical: boolean,
 ): (string | null)[] | null {
   if (!job.spec.oneZone) return [null];
-  const present = [...perZone.keys()];
-  if (present.length > 1) return null;
-  if (present.length === 1) return present;
-  const worth = new Map<string, number>();
-  for (const room of open) {
-    const { zone } = room.machine;
-    const here = PLACE_WEIGHT * slotCount(room, job.spec) - placementCost(room, job, fragile);
-    worth.set(zone, (worth.get(zone) ?? 0) + here);
+  const occupied = [...perZone.keys()];
+  if (occupied.length > 1) return null;
+  if (occupied.length === 1) return occupied;
+  const scores = new Map<string, number>();
+  for (const candidate of candidates) {
+    const { zone } = candidate.machine;
+    const score =
+      PLACE_WEIGHT * slotCount(candidate, job.spec) - placementCost(candidate, job, restartCritical);
+    scores.set(zone, (scores.get(zone) ?? 0) + score);
   }
-  return [...worth.keys()].sort((a, b) => worth.get(b)! - worth.get(a)!);
+  return [...scores.keys()].sort((a, b) => scores.get(b)! - scores.get(a)!);
 }
