--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,9 +1,9 @@
-/** One round of starts: best fit in a sample of machines, then in all of them; gangs whole or not at all. */
+/** Places tasks: best fit among sampled machines, then among all; a gang as a whole or not at all. */
 import { chunked } from './chunked.js';
 import { tasksWithinLimit, type Claim } from './claims.js';
 import { allocate, type Allocation, type Random } from './fill.js';
 import { fitsType, soleFitTypes } from './fit.js';
-import { avoidsMachine, type Job, type TaskAttempt, type Machine } from './model.js';
+import { avoidsMachine, type Job, type Machine, type TaskAttempt } from './model.js';
 import { reserve } from './reserve.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { constraintKey, delaysGangFetch, hasImage, InfeasibleRequests, isMultiTaskGang } from './rooms.js';
@@ -20,84 +20,81 @@
   now: WallMs;
   random: Random;
   sampleSize: number;
-  /** Machines whose workers reported lately and that may take work. */
+  /** Machines that may take work and whose workers have reported recently. */
   usable: Machine[];
-  /** Seconds in which jobs of a class should be done; 0 where their start is what counts. */
-  completionObjectiveS: (c: string) => number;
-  /** Whether a task still waits for its image. */
-  isFetching: (l: TaskAttempt) => boolean;
-  /** Whether more of a type, zone and kind may be had. */
+  /** Seconds within which a class's jobs are to finish; 0 if it has no objective, or one for the start. */
+  completionObjectiveS: (className: string) => number;
+  isFetching: (attempt: TaskAttempt) => boolean;
+  /** Whether the cloud may have more machines of a type in a zone, spot or on demand. */
   canRent: (type: string, zone: string, spot: boolean) => boolean;
-  /** Machines that the last round held or emptied for a gang: other work goes elsewhere if it can. */
+  /** Machines that the previous round reserved or drained for a gang; other jobs avoid them if they can. */
   reserved: ReadonlySet<Machine>;
-  /** At most this many starts in one round. */
   maxStarts: number;
 }
 
-/** Tasks of one job that found no room. */
+/** Tasks of one job that could not be placed. */
 export interface Unplaced {
   job: Job;
   tasks: number;
+  /** Whether the job is within its team's guarantee. */
   guaranteed: boolean;
-  /** Where the rest of a gang has places. */
+  /** Zone in which places are reserved for other tasks of a one-zone job. */
   zone: string | null;
 }
 
 export interface PlacementResult {
   entries: LogEntry[];
   starts: number;
-  /** Job by job in order of claim. */
+  /** In claim order. */
   unplaced: Unplaced[];
-  /** Machines that are not idle though they look so: work starts there, or places are held. */
+  /** Machines that must not be returned as idle: tasks start on them, or places on them are reserved. */
   retained: Set<Machine>;
-  /** Those of them that wait for a gang. */
+  /** Those of them that are reserved for a gang. */
   reserved: Set<Machine>;
-  freeResources: (m: Machine) => Resources;
-  /** What tasks that are being stopped will add to it. */
-  releasingResources: (m: Machine) => Resources;
+  /** What the starts and reservations of this round leave free on a machine. */
+  freeResources: (machine: Machine) => Resources;
+  /** What tasks that are being stopped will release on a machine. */
+  releasingResources: (machine: Machine) => Resources;
 }
 
-const NONE: Resources = Object.freeze({ cpus: 0, gpus: 0, mem: 0 });
-/** Seconds after which a gang that fits nowhere has machines emptied for it. */
+const NO_RESOURCES: Resources = Object.freeze({ cpus: 0, gpus: 0, mem: 0 });
+/** Age of a gang from which machines are drained for it if it fits nowhere. */
 const DRAIN_AFTER_S = 45;
-/** Starts of one entry: more would not fit a record beside others. */
-const STARTS_PER_ENTRY = 100;
+/** A larger entry would not fit into a log record beside others. */
+const MAX_STARTS_PER_ENTRY = 100;
 
 export const place = (input: PlacementInput): PlacementResult => new PlacementRound(input).run();
 
-const kindOf = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
-const countOf = (shares: readonly Allocation[]): number =>
-  shares.reduce((sum, share) => sum + share.taskCount, 0);
+const offerId = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
+const countTasks = (allocations: readonly Allocation[]): number =>
+  allocations.reduce((sum, allocation) => sum + allocation.taskCount, 0);
 
 class PlacementRound {
-  private readonly rooms: Candidate[];
-  private readonly roomOf: ReadonlyMap<MachineId, Candidate>;
-  /** Rooms with something free. Work follows what has room: on a busy day few machines do. */
+  private readonly candidates: Candidate[];
+  private readonly candidateById: ReadonlyMap<MachineId, Candidate>;
+  /** Candidates with free CPUs. Only these are searched for places: on a busy cluster they are few. */
   private free: Candidate[];
-  /** Rooms in which tasks are being stopped. */
-  private readonly freeing: Candidate[];
-  /** Needs that found no machine at all this round. */
-  private readonly noRoom = new InfeasibleRequests();
-  private readonly use: Map<string, { cpus: number; gpus: number }>;
-  /** Machines that take work, by type, zone and kind. */
-  private readonly machines = new Map<string, number>();
+  /** Candidates on which tasks are being stopped. */
+  private readonly releasing: Candidate[];
+  private readonly infeasible = new InfeasibleRequests();
+  private readonly teamUsage: Map<string, { cpus: number; gpus: number }>;
+  private readonly machineCountByOffer = new Map<string, number>();
   private readonly entries: LogEntry[] = [];
   private readonly unplaced: Unplaced[] = [];
-  private readonly keep = new Set<Machine>();
-  private readonly waiting = new Set<Machine>();
+  private readonly retained = new Set<Machine>();
+  private readonly reserved = new Set<Machine>();
   private starts = 0;
-  /** Machines are being emptied for a gang. */
   private isDraining = false;
 
   constructor(private readonly input: PlacementInput) {
-    this.rooms = roomsOf(input);
-    this.roomOf = new Map(this.rooms.map((room) => [room.machine.id, room]));
-    this.free = this.rooms.filter((room) => room.cpus > RESOURCE_EPSILON);
-    this.freeing = this.rooms.filter((room) => room.releasing.cpus > RESOURCE_EPSILON);
-    this.use = new Map([...input.state.teamUsage].map(([team, used]) => [team, { ...used }]));
-    for (const { machine: m } of this.rooms) {
-      const kind = kindOf(m.type, m.zone, m.spot);
-      this.machines.set(kind, (this.machines.get(kind) ?? 0) + 1);
+    this.candidates = createCandidates(input);
+    this.candidateById = new Map(this.candidates.map((candidate) => [candidate.machine.id, candidate]));
+    this.free = this.candidates.filter((candidate) => candidate.cpus > RESOURCE_EPSILON);
+    this.releasing = this.candidates.filter((candidate) => candidate.releasing.cpus > RESOURCE_EPSILON);
+    this.teamUsage = new Map([...input.state.teamUsage].map(([team, usage]) => [team, { ...usage }]));
+    for (const { machine } of this.candidates) {
+      const offer = offerId(machine.type, machine.zone, machine.spot);
+      this.machineCountByOffer.set(offer, (this.machineCountByOffer.get(offer) ?? 0) + 1);
     }
   }
 
@@ -107,193 +104,196 @@
       entries: this.entries,
       starts: this.starts,
       unplaced: this.unplaced,
-      retained: new Set([...this.keep, ...this.waiting]),
-      reserved: this.waiting,
-      freeResources: (machine) => sumOf(this.roomOf.get(machine.id) ?? NONE, NONE),
-      releasingResources: (machine) => this.roomOf.get(machine.id)?.releasing ?? NONE,
+      retained: new Set([...this.retained, ...this.reserved]),
+      reserved: this.reserved,
+      freeResources: (machine) => sumOf(this.candidateById.get(machine.id) ?? NO_RESOURCES, NO_RESOURCES),
+      releasingResources: (machine) => this.candidateById.get(machine.id)?.releasing ?? NO_RESOURCES,
     };
   }
 
   private placeClaim({ job, guaranteed }: Claim): void {
-    this.keepPlaces(job);
+    this.retainGangPlaces(job);
     const waiting = countWaitingTasks(this.input.state, job);
     if (waiting === 0 || job.notBefore > this.input.now) return;
-    const want = this.mayStart(job, waiting);
-    if (want === 0) return;
-    const open = this.fitting(job).filter((room) => !delaysGangFetch(room, job));
-    const shares = this.share(job, want, open);
-    if (shares === null) return;
-    if (shares.length > 0) this.start(job, want, shares);
-    const left = want - countOf(shares);
-    if (left > 0) this.reserveFor(job, left, open, guaranteed);
+    const wanted = this.startableTasks(job, waiting);
+    if (wanted === 0) return;
+    const feasible = this.feasibleCandidates(job).filter((candidate) => !delaysGangFetch(candidate, job));
+    const allocations = this.allocate(job, wanted, feasible);
+    if (allocations === null) return;
+    if (allocations.length > 0) this.start(job, wanted, allocations);
+    const remaining = wanted - countTasks(allocations);
+    if (remaining > 0) this.reserveFor(job, remaining, feasible, guaranteed);
   }
 
-  /** Where images are there, or a gang's slow tasks are still fetching, its places wait for the next attempt. */
-  private keepPlaces(job: Job): void {
+  /** Keeps a broken gang's places, where images are present or being fetched, for its next attempt. */
+  private retainGangPlaces(job: Job): void {
     for (const id of job.places) {
-      const room = this.roomOf.get(id);
-      if (!room || !fits(room, job.spec) || !meetsConstraints(job, room.machine)) continue;
-      addTo(room, job.spec, -1);
-      this.keep.add(room.machine);
+      const candidate = this.candidateById.get(id);
+      if (!candidate || !fits(candidate, job.spec) || !meetsConstraints(job, candidate.machine)) continue;
+      addTo(candidate, job.spec, -1);
+      this.retained.add(candidate.machine);
     }
   }
 
-  private useOf(team: string): { cpus: number; gpus: number } {
-    const used = this.use.get(team) ?? { cpus: 0, gpus: 0 };
-    this.use.set(team, used);
-    return used;
+  private usageOf(team: string): { cpus: number; gpus: number } {
+    const usage = this.teamUsage.get(team) ?? { cpus: 0, gpus: 0 };
+    this.teamUsage.set(team, usage);
+    return usage;
   }
 
-  /** How many tasks may start now, by the team's limit and the round's; of a gang all or none. */
-  private mayStart(job: Job, waiting: number): number {
+  /** How many tasks may start within the limits of the team and of the round; for a gang all or none. */
+  private startableTasks(job: Job, waiting: number): number {
     const { spec } = job;
     const team = this.input.teams.find((one) => one.name === spec.team)!;
-    const limit = tasksWithinLimit(job, team, this.useOf(spec.team));
+    const limit = tasksWithinLimit(job, team, this.usageOf(spec.team));
     if (spec.gang && limit < waiting) return 0;
-    const want = Math.min(waiting, limit, Math.max(0, this.input.maxStarts - this.starts));
-    return spec.gang && want < spec.tasks ? 0 : want;
+    const startable = Math.min(waiting, limit, Math.max(0, this.input.maxStarts - this.starts));
+    return spec.gang && startable < spec.tasks ? 0 : startable;
   }
 
-  private mayTake(job: Job, room: Candidate): boolean {
-    return meetsConstraints(job, room.machine) && !avoidsMachine(job, room.machine.id);
+  private isEligible(job: Job, candidate: Candidate): boolean {
+    return meetsConstraints(job, candidate.machine) && !avoidsMachine(job, candidate.machine.id);
   }
 
-  private fitting(job: Job): Candidate[] {
+  private feasibleCandidates(job: Job): Candidate[] {
     const { spec } = job;
-    if (this.noRoom.has(constraintKey(spec), spec)) return [];
-    const fitting = this.free.filter((room) => fits(room, spec) && this.mayTake(job, room));
-    if (fitting.length === 0 && job.errorMachines.size === 0) this.noRoom.add(constraintKey(spec), spec);
-    return fitting;
+    if (this.infeasible.has(constraintKey(spec), spec)) return [];
+    const feasible = this.free.filter(
+      (candidate) => fits(candidate, spec) && this.isEligible(job, candidate),
+    );
+    if (feasible.length === 0 && job.errorMachines.size === 0) this.infeasible.add(constraintKey(spec), spec);
+    return feasible;
   }
 
-  /** Places for a job's tasks, taken from their rooms; null when it may not be placed at all now. */
-  private share(job: Job, want: number, open: Candidate[]): Allocation[] | null {
-    const { now, random, sampleSize: sample, completionObjectiveS: within } = this.input;
+  /** Allocates places and takes them from the candidates; null if no task of the job may be placed now. */
+  private allocate(job: Job, wanted: number, feasible: Candidate[]): Allocation[] | null {
+    const { now, random, sampleSize, completionObjectiveS } = this.input;
     const { spec } = job;
-    const fragile = isRestartCritical(job, now, within(spec.class));
+    const restartCritical = isRestartCritical(job, now, completionObjectiveS(spec.class));
     const perZone = tasksPerZone(job);
-    const zones = candidateZones(job, perZone, open, fragile);
+    const zones = candidateZones(job, perZone, feasible, restartCritical);
     if (zones === null) return null;
-    const zoneMost = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
-    const zoneLeft = (zone: string): number => zoneMost - (perZone.get(zone) ?? 0);
+    const maxPerZone = spec.spread ? Math.ceil(spec.tasks / 2) : Infinity;
+    const zoneAllowance = (zone: string): number => maxPerZone - (perZone.get(zone) ?? 0);
     for (const zone of zones) {
-      const pool = zone === null ? open : open.filter((room) => room.machine.zone === zone);
-      const shares = allocate(pool, job, want, sample, random, fragile, zoneLeft);
-      // A gang goes whole or not at all; a one-zone array takes the zone that has room.
-      if (shares.length > 0 && (!spec.gang || countOf(shares) === want)) return shares;
-      for (const { candidate: room, taskCount: n } of shares) addTo(room, spec, n);
+      const pool = zone === null ? feasible : feasible.filter((candidate) => candidate.machine.zone === zone);
+      const allocations = allocate(pool, job, wanted, sampleSize, random, restartCritical, zoneAllowance);
+      // A gang is placed as a whole or not at all; a one-zone array takes the first zone with a place.
+      if (allocations.length > 0 && (!spec.gang || countTasks(allocations) === wanted)) return allocations;
+      for (const { candidate, taskCount } of allocations) addTo(candidate, spec, taskCount);
     }
     return [];
   }
 
-  private start(job: Job, want: number, shares: Allocation[]): void {
+  private start(job: Job, wanted: number, allocations: Allocation[]): void {
     const { spec } = job;
     const tasks: [number, number][] = spec.gang
       ? Array.from({ length: spec.tasks }, (_, task) => [task, job.gangTry])
-      : waitingTasks(job, want);
+      : waitingTasks(job, wanted);
     const placed: [number, number, MachineId][] = [];
-    for (const { candidate: room, taskCount: n } of shares) {
-      this.noteStart(room, job);
-      for (let i = 0; i < n; i++) placed.push([...tasks[placed.length]!, room.machine.id]);
+    for (const { candidate, taskCount } of allocations) {
+      this.recordStart(candidate, job);
+      for (let i = 0; i < taskCount; i++) placed.push([...tasks[placed.length]!, candidate.machine.id]);
     }
-    const used = this.useOf(spec.team);
-    used.cpus += spec.cpus * placed.length;
-    used.gpus += spec.gpus * placed.length;
+    const usage = this.usageOf(spec.team);
+    usage.cpus += spec.cpus * placed.length;
+    usage.gpus += spec.gpus * placed.length;
     this.starts += placed.length;
-    for (const part of chunked(placed, STARTS_PER_ENTRY))
-      this.entries.push({ e: 'start', job: spec.id, p: part });
-    this.free = this.free.filter((room) => room.cpus > RESOURCE_EPSILON);
+    for (const chunk of chunked(placed, MAX_STARTS_PER_ENTRY))
+      this.entries.push({ e: 'start', job: spec.id, p: chunk });
+    this.free = this.free.filter((candidate) => candidate.cpus > RESOURCE_EPSILON);
   }
 
-  private noteStart(room: Candidate, job: Job): void {
-    if (!hasImage(room, job)) {
-      room.fetches.set(job.spec.image, job.spec.imageGb / room.fetchRate);
-      room.isGangFetching ||= isMultiTaskGang(job.spec);
+  private recordStart(candidate: Candidate, job: Job): void {
+    if (!hasImage(candidate, job)) {
+      candidate.fetches.set(job.spec.image, job.spec.imageGb / candidate.fetchRate);
+      candidate.isGangFetching ||= isMultiTaskGang(job.spec);
     }
-    room.isOccupied = true;
-    // Guards against giving a machine back in the round that gives it work.
-    this.keep.add(room.machine);
+    candidate.isOccupied = true;
+    // Prevents the machine's return in the round that starts work on it.
+    this.retained.add(candidate.machine);
   }
 
-  /** Room that is being made for this claim is not left to a lesser one meanwhile. */
-  private reserveFor(job: Job, left: number, open: Candidate[], guaranteed: boolean): void {
+  /** Reserves resources that are being released for the job, so that later claims don't take them. */
+  private reserveFor(job: Job, remaining: number, feasible: Candidate[], guaranteed: boolean): void {
     const { state, now } = this.input;
     const { spec } = job;
-    // One gang at a time: machines that stand half empty for all of them would serve none.
+    // One gang at a time: machines drained for several gangs would stand half empty and serve none of them.
     const drains = spec.gang && !this.isDraining && now - job.at > DRAIN_AFTER_S * 1000;
     this.isDraining ||= drains;
-    const mine = (room: Candidate): boolean => this.mayTake(job, room);
-    const drainable = (room: Candidate): boolean => {
-      const type = state.machineTypes.get(room.machine.type);
-      return mine(room) && type !== undefined && fitsType(spec, type);
+    const isEligible = (candidate: Candidate): boolean => this.isEligible(job, candidate);
+    const isDrainable = (candidate: Candidate): boolean => {
+      const type = state.machineTypes.get(candidate.machine.type);
+      return isEligible(candidate) && type !== undefined && fitsType(spec, type);
     };
-    const reserved = reserve(
-      spec.gang ? open : [],
-      this.freeing.filter(mine),
+    const result = reserve(
+      spec.gang ? feasible : [],
+      this.releasing.filter(isEligible),
       job,
-      left,
-      drains ? this.rooms.filter(drainable) : [],
-      (zone) => this.couldHold(job, zone),
-      this.waiting,
+      remaining,
+      drains ? this.candidates.filter(isDrainable) : [],
+      (zone) => this.zoneCapacity(job, zone),
+      this.reserved,
     );
-    if (drains) this.free = this.free.filter((room) => room.cpus > RESOURCE_EPSILON);
-    const tasks = left - reserved.n;
-    if (tasks > 0) this.unplaced.push({ job, tasks, guaranteed, zone: reserved.zone });
+    if (drains) this.free = this.free.filter((candidate) => candidate.cpus > RESOURCE_EPSILON);
+    const tasks = remaining - result.taskCount;
+    if (tasks > 0) this.unplaced.push({ job, tasks, guaranteed, zone: result.zone });
   }
 
-  /** How many of a job's tasks a zone's machines would hold if all were empty; no end while more can be rented. */
-  private couldHold(job: Job, zone: string): number {
+  /** How many of a job's tasks a zone's machines hold when empty; no limit if more can be rented. */
+  private zoneCapacity(job: Job, zone: string): number {
     let tasks = 0;
     for (const type of this.input.state.machineTypes.values()) {
       if (!fitsType(job.spec, type) || !type.zones.includes(zone)) continue;
       for (const spot of [true, false]) {
         if (!meetsConstraints(job, { type: type.name, zone, spot })) continue;
         if (this.input.canRent(type.name, zone, spot)) return Infinity;
-        tasks += slotCount(type, job.spec) * (this.machines.get(kindOf(type.name, zone, spot)) ?? 0);
+        tasks +=
+          slotCount(type, job.spec) * (this.machineCountByOffer.get(offerId(type.name, zone, spot)) ?? 0);
       }
     }
     return tasks;
   }
 }
 
-function roomsOf(input: PlacementInput): Candidate[] {
-  const scarce = soleFitTypes(input.state);
-  const rooms: Candidate[] = [];
+function createCandidates(input: PlacementInput): Candidate[] {
+  const soleFits = soleFitTypes(input.state);
+  const candidates: Candidate[] = [];
   for (const machine of input.usable) {
     const type = input.state.machineTypes.get(machine.type);
     if (!type) continue;
-    const room: Candidate = {
+    const candidate: Candidate = {
       machine,
       cpus: type.cpus - machine.cpus,
       gpus: type.gpus - machine.gpus,
       mem: type.mem - machine.mem,
       fetches: new Map(),
       isGangFetching: false,
-      releasing: machine.stopping > 0 ? { cpus: 0, gpus: 0, mem: 0 } : NONE,
+      releasing: machine.stopping > 0 ? { cpus: 0, gpus: 0, mem: 0 } : NO_RESOURCES,
       fetchRate: type.fetch,
       totalCpus: type.cpus,
-      isSoleFit: scarce.has(type.name),
+      isSoleFit: soleFits.has(type.name),
       isReserved: input.reserved.has(machine),
       isOccupied: machine.live.size > 0,
     };
-    // Work follows what has room or will have: the tasks of all other machines are not looked at.
-    if (machine.stopping > 0 || machine.cpus + RESOURCE_EPSILON < type.cpus) noteTasks(room, input);
-    rooms.push(room);
+    // Full machines on which no task is being stopped can't be chosen, so their tasks aren't examined.
+    if (machine.stopping > 0 || machine.cpus + RESOURCE_EPSILON < type.cpus) recordAttempts(candidate, input);
+    candidates.push(candidate);
   }
-  return rooms;
+  return candidates;
 }
 
-/** What the tasks on a machine will leave, and what they fetch. */
-function noteTasks(room: Candidate, { isFetching: fetching, now }: PlacementInput): void {
-  for (const live of room.machine.live) {
-    const { spec } = live.job;
-    if (live.stop) addTo(room.releasing, spec);
-    else if (fetching(live)) {
-      room.fetches.set(
+/** Notes what the attempts on a machine will release, and what they are fetching. */
+function recordAttempts(candidate: Candidate, { isFetching, now }: PlacementInput): void {
+  for (const attempt of candidate.machine.live) {
+    const { spec } = attempt.job;
+    if (attempt.stop) addTo(candidate.releasing, spec);
+    else if (isFetching(attempt)) {
+      candidate.fetches.set(
         spec.image,
-        Math.max(1, spec.imageGb / room.fetchRate - (now - live.startedAt) / 1000),
+        Math.max(1, spec.imageGb / candidate.fetchRate - (now - attempt.startedAt) / 1000),
       );
-      room.isGangFetching ||= isMultiTaskGang(spec);
+      candidate.isGangFetching ||= isMultiTaskGang(spec);
     }
   }
 }
