--- a/src/core/fit.ts
+++ b/src/core/fit.ts
@@ -1,47 +1,60 @@
-/** Which jobs can run on which types of machine, and which can never run. */
+/** Which jobs fit which machine types, and which jobs can never run. */
 import type { ClusterState } from './state.js';
 import { RESOURCE_EPSILON, type JobSpec, type MachineType, type Team } from './types.js';
 
-/** Whether a task fits a machine type, when the machine is empty. */
-export function fitsType(spec: JobSpec, t: MachineType): boolean {
+/** Whether a task fits an empty machine of the type, in a zone that the job allows. */
+export function fitsType(spec: JobSpec, type: MachineType): boolean {
   return (
-    (!spec.types || spec.types.includes(t.name)) &&
-    (!spec.zone || t.zones.includes(spec.zone)) &&
-    t.cpus + RESOURCE_EPSILON >= spec.cpus &&
-    t.gpus + RESOURCE_EPSILON >= spec.gpus &&
-    t.mem + RESOURCE_EPSILON >= spec.mem
+    (!spec.types || spec.types.includes(type.name)) &&
+    (!spec.zone || type.zones.includes(spec.zone)) &&
+    type.cpus + RESOURCE_EPSILON >= spec.cpus &&
+    type.gpus + RESOURCE_EPSILON >= spec.gpus &&
+    type.mem + RESOURCE_EPSILON >= spec.mem
   );
 }
 
-/** Types that are the only one for some unfinished job, though others have a choice. */
+/** Machine types that are the only fitting one for some unfinished job; none if there is just one type. */
 export function soleFitTypes(state: ClusterState): Set<string> {
-  const out = new Set<string>();
-  if (state.machineTypes.size < 2) return out;
+  const soleFits = new Set<string>();
+  if (state.machineTypes.size < 2) return soleFits;
   const types = [...state.machineTypes.values()];
-  for (const j of state.jobs.values()) {
-    const fit = types.filter((t) => fitsType(j.spec, t));
-    if (fit.length === 1) out.add(fit[0]!.name);
+  for (const job of state.jobs.values()) {
+    const fitting = types.filter((type) => fitsType(job.spec, type));
+    if (fitting.length === 1) soleFits.add(fitting[0]!.name);
   }
-  return out;
+  return soleFits;
 }
 
-/** A submission's refusal: 422 for good, 503 while it can't be judged. */
+/** Why a submission is refused: 422 for a job that can never run, 503 while that can't be decided yet. */
 export type Refusal = { status: 422 | 503; reason: string };
 
-/** Why a job can never run, or can't be judged yet; null when it can be taken. */
+/** Checks whether a submitted job can run at all; null if it can. */
 export function checkAdmission(
   spec: JobSpec,
   teams: readonly Team[],
   types: Iterable<MachineType>,
 ): Refusal | null {
-  const team = teams.find((t) => t.name === spec.team);
-  if (!team) return { status: 422, reason: 'unknown team' };
+  const team = teams.find((one) => one.name === spec.team);
+  if (!team) return { status: 422, reason: `desk: found '${spec.team}', expected a team of the settings` };
   const known = [...types];
   if (known.length === 0) return { status: 503, reason: 'machine types not known yet' };
-  if (!known.some((t) => fitsType(spec, t)))
-    return { status: 422, reason: 'a task fits no allowed machine type' };
-  const n = spec.gang ? spec.tasks : 1;
-  if (spec.cpus * n > team.cpusMax + RESOURCE_EPSILON || spec.gpus * n > team.gpusMax + RESOURCE_EPSILON)
-    return { status: 422, reason: "the job needs more than the team's limit" };
+  if (!known.some((type) => fitsType(spec, type)))
+    return {
+      status: 422,
+      reason:
+        `cpus, accelerators, mem_gb: found ${spec.cpus}, ${spec.gpus}, ${spec.mem}, ` +
+        'expected a request that fits a machine type allowed by breeds and yard',
+    };
+  const tasksAtOnce = spec.gang ? spec.tasks : 1;
+  if (
+    spec.cpus * tasksAtOnce > team.cpusMax + RESOURCE_EPSILON ||
+    spec.gpus * tasksAtOnce > team.gpusMax + RESOURCE_EPSILON
+  )
+    return {
+      status: 422,
+      reason:
+        `shifts, cpus, accelerators: found ${tasksAtOnce} at once with ${spec.cpus} and ${spec.gpus} each, ` +
+        `expected at most the team's limit of ${team.cpusMax} and ${team.gpusMax} in all`,
+    };
   return null;
 }
