--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -1,169 +1,189 @@
+/** Frees resources for unplaced jobs by stopping tasks of other jobs. */
 import { chunked } from './chunked.js';
 import type { Claim } from './claims.js';
 import type { PlacementResult } from './placement.js';
-import { meetsConstraints, InfeasibleRequests, constraintKey } from './rooms.js';
+import { constraintKey, InfeasibleRequests, meetsConstraints } from './rooms.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { fitsType } from './fit.js';
-import { avoidsMachine, type Job, type TaskAttempt, type Machine } from './model.js';
+import { avoidsMachine, type Job, type Machine, type TaskAttempt } from './model.js';
 import type { ClusterState } from './state.js';
 import type { LogEntry, Team } from './types.js';
 import { RESOURCE_EPSILON, priorityRank } from './types.js';
 
 export interface PreemptionInput {
   state: ClusterState;
+  /** In claim order. */
   claims: readonly Claim[];
   teams: readonly Team[];
   usable: Machine[];
   unplaced: PlacementResult['unplaced'];
-  /** Rooms as this round's own starts leave them. */
+  /** What this round's own starts leave free on a machine. */
   freeResources: PlacementResult['freeResources'];
   releasingResources: PlacementResult['releasingResources'];
-  /** Seconds since the task was first shown running; null before that. */
-  secondsRun: (l: TaskAttempt) => number | null;
-  /** Only claims of at least this rank stop the work of a lower one. */
+  /** Seconds since a task was first reported running; null if it was not yet. */
+  secondsRun: (attempt: TaskAttempt) => number | null;
+  /** Least priority rank from which a job may preempt jobs of lower priority. */
   minRank: number;
 }
 
 export interface PreemptionResult {
   entries: LogEntry[];
-  /** What finds no room even where tasks are being stopped. */
+  /** Tasks that have no place even when all tasks being stopped have ended. */
   unplaced: PlacementResult['unplaced'];
 }
 
-interface Soon extends Resources {
-  m: Machine;
+/** What will be free on a machine when the tasks being stopped have ended, less what was assigned since. */
+interface FutureCapacity extends Resources {
+  machine: Machine;
 }
 
-/** What stopping a task throws away, in seconds of a CPU. */
-function loss(l: TaskAttempt, ran: number | null): number {
-  const s = l.job.spec;
-  if (ran === null) return s.cpus * 2;
-  const lost = s.checkpoint > 0 ? s.save : Math.max(ran, 1);
-  // A start that lasted under 30 s counts for no aim.
-  return s.cpus * (lost + (ran < 30 ? 15 : 0));
+/** Cost of stopping a task: the work that is lost, in CPU seconds. */
+function preemptionCost(attempt: TaskAttempt, secondsRun: number | null): number {
+  const spec = attempt.job.spec;
+  if (secondsRun === null) return spec.cpus * 2;
+  const secondsLost = spec.checkpoint > 0 ? spec.save : Math.max(secondsRun, 1);
+  // A run of less than 30 s does not count as a start towards any objective.
+  return spec.cpus * (secondsLost + (secondsRun < 30 ? 15 : 0));
 }
 
 /**
- * Makes room by stopping tasks, only as the rules allow: work of a lower priority, or what
- * another team runs beyond its guarantee for a team that is within its own.
+ * Stops tasks to free resources for unplaced jobs, as far as the rules allow: tasks of jobs with lower
+ * priority, and, for a job within its team's guarantee, tasks that another team runs beyond its own
+ * guarantee.
  */
 export function preempt(input: PreemptionInput): PreemptionResult {
   const { state, teams } = input;
   if (input.unplaced.length === 0) return { entries: [], unplaced: [] };
-  const order = new Map<Job, { at: number; guaranteed: boolean }>();
-  input.claims.forEach((c, i) => order.set(c.job, { at: i, guaranteed: c.guaranteed }));
-  const beyond = new Set<string>();
-  for (const t of teams) {
-    const u = state.teamUsage.get(t.name);
-    if (u && (u.cpus > t.cpus + RESOURCE_EPSILON || u.gpus > t.gpus + RESOURCE_EPSILON)) beyond.add(t.name);
+  const claimOrder = new Map<Job, { position: number; guaranteed: boolean }>();
+  input.claims.forEach((claim, i) =>
+    claimOrder.set(claim.job, { position: i, guaranteed: claim.guaranteed }),
+  );
+  /** Teams that use more than their guarantee. */
+  const exceeds = new Set<string>();
+  for (const team of teams) {
+    const usage = state.teamUsage.get(team.name);
+    if (usage && (usage.cpus > team.cpus + RESOURCE_EPSILON || usage.gpus > team.gpus + RESOURCE_EPSILON))
+      exceeds.add(team.name);
   }
-  const may = (job: Job, guaranteed: boolean, v: Job): boolean => {
-    const a = order.get(job);
-    const b = order.get(v);
-    if (!a || !b || b.at <= a.at || (v.spec.gang && v.spec.tasks > 1)) return false;
+  const mayPreempt = (job: Job, guaranteed: boolean, other: Job): boolean => {
+    const own = claimOrder.get(job);
+    const its = claimOrder.get(other);
+    if (!own || !its || its.position <= own.position || (other.spec.gang && other.spec.tasks > 1))
+      return false;
     if (
-      priorityRank[v.spec.priority] < priorityRank[job.spec.priority] &&
+      priorityRank[other.spec.priority] < priorityRank[job.spec.priority] &&
       priorityRank[job.spec.priority] >= input.minRank
     )
       return true;
-    return guaranteed && !b.guaranteed && v.spec.team !== job.spec.team && beyond.has(v.spec.team);
+    return guaranteed && !its.guaranteed && other.spec.team !== job.spec.team && exceeds.has(other.spec.team);
   };
-  const soon: Soon[] = input.usable.map((m) => ({
-    m,
-    ...sumOf(input.freeResources(m), input.releasingResources(m)),
+  const capacities: FutureCapacity[] = input.usable.map((machine) => ({
+    machine,
+    ...sumOf(input.freeResources(machine), input.releasingResources(machine)),
   }));
-  const running = input.claims.filter((c) => c.job.live.size > 0);
-  // Where nothing is being stopped there is no more room than the round has just sought in vain.
-  const freeing = soon.filter((r) => input.releasingResources(r.m).cpus > RESOURCE_EPSILON);
-  /** Needs of like claims that nothing helped: a later one of the kind may stop no more than they. */
-  const inVain = new InfeasibleRequests();
-  const victims = new Map<Job, Set<number>>();
+  const running = input.claims.filter((claim) => claim.job.live.size > 0);
+  // Without preemption, only machines with releasing resources can have room that placement did not find.
+  const releasing = capacities.filter(
+    (capacity) => input.releasingResources(capacity.machine).cpus > RESOURCE_EPSILON,
+  );
+  /** Requests that found no place, keyed by what determines which tasks may be stopped for them. */
+  const infeasible = new InfeasibleRequests();
+  const tasksToStop = new Map<Job, Set<number>>();
   const chosen = new Set<TaskAttempt>();
-  const left: PlacementResult['unplaced'] = [];
+  const stillUnplaced: PlacementResult['unplaced'] = [];
 
-  for (const u of input.unplaced) {
-    const { job } = u;
-    const s = job.spec;
-    const lesser = new Set<Job>();
-    const kind = `${s.team}|${s.priority}|${u.guaranteed}|${constraintKey(s)}`;
-    if (inVain.has(kind, s)) {
-      left.push(u);
+  for (const unplaced of input.unplaced) {
+    const { job } = unplaced;
+    const spec = job.spec;
+    const preemptible = new Set<Job>();
+    const key = `${spec.team}|${spec.priority}|${unplaced.guaranteed}|${constraintKey(spec)}`;
+    if (infeasible.has(key, spec)) {
+      stillUnplaced.push(unplaced);
       continue;
     }
-    for (const c of running) if (may(job, u.guaranteed, c.job)) lesser.add(c.job);
-    let zone = u.zone;
-    if (s.oneZone) for (const l of job.live.values()) zone = l.machine.zone;
-    /** What must be stopped here for one more task; null when nothing that may be stopped helps. */
-    const cost = (r: Soon): { r: Soon; v: TaskAttempt[]; cost: number } | null => {
-      if (fits(r, s)) return { r, v: [], cost: 0 };
-      if (s.spread || lesser.size === 0) return null;
-      const got = { cpus: r.cpus, gpus: r.gpus, mem: r.mem };
+    for (const claim of running)
+      if (mayPreempt(job, unplaced.guaranteed, claim.job)) preemptible.add(claim.job);
+    let zone = unplaced.zone;
+    if (spec.oneZone) for (const attempt of job.live.values()) zone = attempt.machine.zone;
+    /** Tasks to stop on a machine for one more task of the job; null if stopping any can't free enough. */
+    const planFor = (
+      capacity: FutureCapacity,
+    ): { capacity: FutureCapacity; victims: TaskAttempt[]; cost: number } | null => {
+      if (fits(capacity, spec)) return { capacity, victims: [], cost: 0 };
+      if (spec.spread || preemptible.size === 0) return null;
+      const available = { cpus: capacity.cpus, gpus: capacity.gpus, mem: capacity.mem };
       const lower: TaskAttempt[] = [];
-      for (const l of r.m.live) {
-        if (l.stop || !lesser.has(l.job) || chosen.has(l)) continue;
-        lower.push(l);
-        addTo(got, l.job.spec);
+      for (const attempt of capacity.machine.live) {
+        if (attempt.stop || !preemptible.has(attempt.job) || chosen.has(attempt)) continue;
+        lower.push(attempt);
+        addTo(available, attempt.job.spec);
       }
-      if (!fits(got, s)) return null;
-      const stoppable = lower.map((l) => ({ l, cost: loss(l, input.secondsRun(l)) }));
-      stoppable.sort((a, b) => a.cost / a.l.job.spec.cpus - b.cost / b.l.job.spec.cpus);
-      Object.assign(got, { cpus: r.cpus, gpus: r.gpus, mem: r.mem });
-      const v: TaskAttempt[] = [];
-      let sum = r.m.images.has(s.image) ? 0 : s.cpus * 4;
-      for (const x of stoppable) {
-        if (fits(got, s)) break;
-        v.push(x.l);
-        sum += x.cost;
-        addTo(got, x.l.job.spec);
+      if (!fits(available, spec)) return null;
+      const stoppable = lower.map((attempt) => ({
+        attempt,
+        cost: preemptionCost(attempt, input.secondsRun(attempt)),
+      }));
+      stoppable.sort((a, b) => a.cost / a.attempt.job.spec.cpus - b.cost / b.attempt.job.spec.cpus);
+      Object.assign(available, { cpus: capacity.cpus, gpus: capacity.gpus, mem: capacity.mem });
+      const victims: TaskAttempt[] = [];
+      let totalCost = capacity.machine.images.has(spec.image) ? 0 : spec.cpus * 4;
+      for (const victim of stoppable) {
+        if (fits(available, spec)) break;
+        victims.push(victim.attempt);
+        totalCost += victim.cost;
+        addTo(available, victim.attempt.job.spec);
       }
-      return { r, v, cost: sum };
+      return { capacity, victims, cost: totalCost };
     };
-    let missing = u.tasks;
-    const picks: { r: Soon; v: TaskAttempt[]; cost: number }[] = [];
-    // Like tasks are one decision: all machines are ranked once for the job.
-    const types = new Set([...state.machineTypes.values()].filter((t) => fitsType(s, t)).map((t) => t.name));
-    const ranked = (lesser.size > 0 ? soon : freeing)
+    let missing = unplaced.tasks;
+    const plans: { capacity: FutureCapacity; victims: TaskAttempt[]; cost: number }[] = [];
+    // The tasks of a job are alike, so machines are ranked once for all of them.
+    const types = new Set(
+      [...state.machineTypes.values()].filter((type) => fitsType(spec, type)).map((type) => type.name),
+    );
+    const ranked = (preemptible.size > 0 ? capacities : releasing)
       .filter(
-        (r) =>
-          types.has(r.m.type) &&
-          meetsConstraints(job, r.m) &&
-          !avoidsMachine(job, r.m.id) &&
-          (zone === null || r.m.zone === zone),
+        (capacity) =>
+          types.has(capacity.machine.type) &&
+          meetsConstraints(job, capacity.machine) &&
+          !avoidsMachine(job, capacity.machine.id) &&
+          (zone === null || capacity.machine.zone === zone),
       )
-      .flatMap((r) => cost(r) ?? [])
+      .flatMap((capacity) => planFor(capacity) ?? [])
       .sort((a, b) => a.cost - b.cost);
-    if (ranked.length === 0 && zone === null && job.errorMachines.size === 0) inVain.add(kind, s);
+    if (ranked.length === 0 && zone === null && job.errorMachines.size === 0) infeasible.add(key, spec);
     for (const first of ranked) {
       if (missing === 0) break;
-      if (s.oneZone && zone !== null && first.r.m.zone !== zone) continue;
-      for (let p: typeof first | null = first; p && missing > 0; p = cost(first.r)) {
-        for (const l of p.v) {
-          chosen.add(l);
-          addTo(p.r, l.job.spec);
+      if (spec.oneZone && zone !== null && first.capacity.machine.zone !== zone) continue;
+      for (let plan: typeof first | null = first; plan && missing > 0; plan = planFor(first.capacity)) {
+        for (const victim of plan.victims) {
+          chosen.add(victim);
+          addTo(plan.capacity, victim.job.spec);
         }
-        addTo(p.r, s, -1);
-        picks.push(p);
+        addTo(plan.capacity, spec, -1);
+        plans.push(plan);
         missing--;
-        if (s.oneZone) zone ??= p.r.m.zone;
+        if (spec.oneZone) zone ??= plan.capacity.machine.zone;
       }
     }
-    if (missing > 0 && s.gang) {
-      // Half a gang is none: what was taken for it is given back.
-      for (const p of picks) {
-        addTo(p.r, s);
-        for (const l of p.v) {
-          chosen.delete(l);
-          addTo(p.r, l.job.spec, -1);
+    if (missing > 0 && spec.gang) {
+      // A gang can't start with a part of its tasks: the plans are withdrawn.
+      for (const plan of plans) {
+        addTo(plan.capacity, spec);
+        for (const victim of plan.victims) {
+          chosen.delete(victim);
+          addTo(plan.capacity, victim.job.spec, -1);
         }
       }
-      left.push(u);
+      stillUnplaced.push(unplaced);
       continue;
     }
-    for (const p of picks)
-      for (const l of p.v) victims.set(l.job, (victims.get(l.job) ?? new Set()).add(l.task));
-    if (missing > 0) left.push({ ...u, tasks: missing });
+    for (const plan of plans)
+      for (const victim of plan.victims)
+        tasksToStop.set(victim.job, (tasksToStop.get(victim.job) ?? new Set()).add(victim.task));
+    if (missing > 0) stillUnplaced.push({ ...unplaced, tasks: missing });
   }
-  const entries = [...victims].flatMap(([job, tasks]) =>
+  const entries = [...tasksToStop].flatMap(([job, tasks]) =>
     chunked([...tasks], 500).map((p): LogEntry => ({
       e: 'stop',
       job: job.spec.id,
@@ -172,5 +192,5 @@
       why: 'preempted',
     })),
   );
-  return { entries, unplaced: left };
+  return { entries, unplaced: stillUnplaced };
 }
