--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -1,292 +1,296 @@
+/** Plans which machines to rent for unplaced tasks, and which machines to return. */
 import { chunked } from './chunked.js';
-import type { PlacementResult } from './placement.js';
-import { meetsConstraints, isRestartCritical, slotCount } from './rooms.js';
-import type { TaskAttempt, Machine } from './model.js';
-import type { ClusterState } from './state.js';
 import { fitsType, soleFitTypes } from './fit.js';
-import { avoidsMachine } from './model.js';
-import type { LogEntry, MachineId, MachineType, WallMs } from './types.js';
-import { addTo, fits, type Resources } from './resources.js';
+import { avoidsMachine, type Machine, type TaskAttempt } from './model.js';
+import type { PlacementResult } from './placement.js';
 import type { Policy } from './policy.js';
-import { priorityRank } from './types.js';
+import { addTo, fits, type Resources } from './resources.js';
+import { isRestartCritical, meetsConstraints, slotCount } from './rooms.js';
+import type { ClusterState } from './state.js';
+import { priorityRank, type LogEntry, type MachineId, type MachineType, type WallMs } from './types.js';
 
 export interface CapacityInput {
   state: ClusterState;
   zones: readonly string[];
   now: WallMs;
   unplaced: PlacementResult['unplaced'];
-  /** Until when no more is asked of a type, zone and kind that had none to give. */
+  /** Whether a type in a zone, spot or on demand, is not requested for now because the cloud had too few. */
   isBackedOff: (type: string, zone: string, spot: boolean) => boolean;
   nextRentalName: () => string;
-  /** Machines that take work, and the room this round leaves on each. */
+  /** Machines that may take work, and what this round leaves free on each. */
   usable: Machine[];
   freeResources: PlacementResult['freeResources'];
-  /** Machines whose places are held: they are not idle. */
+  /** Machines that must not be returned as idle. */
   retained: PlacementResult['retained'];
-  /** Seconds in which jobs of a class should be done; 0 where their start is what counts. */
-  completionObjectiveS: (c: string) => number;
-  /** Seconds until a task is likely to be over. */
-  secondsRemaining: (l: TaskAttempt) => number;
-  /** Seconds without a report. */
-  secondsSilent: (m: Machine) => number;
-  /** Most machines are silent at once. */
+  /** Seconds within which a class's jobs are to finish; 0 if it has no objective, or one for the start. */
+  completionObjectiveS: (className: string) => number;
+  /** Seconds until a task is likely to end. */
+  secondsRemaining: (attempt: TaskAttempt) => number;
+  /** Seconds since a machine's last report. */
+  secondsSilent: (machine: Machine) => number;
   mostAreSilent: boolean;
-  /** A cancelled task that stops have not ended in time. */
-  isOverdue: (l: TaskAttempt) => boolean;
+  /** Whether a cancelled task still exists although stops have had time enough to end it. */
+  isOverdue: (attempt: TaskAttempt) => boolean;
   leaseS: number;
   policy: Policy;
 }
 
-/** So many equal places for work: machines on their way, to be rented, or soon free at work. */
+/** A number of machines with equal resources for tasks: booting, to be rented, or in use and soon free. */
 interface Bin extends Resources {
   type: MachineType;
   zone: string;
   spot: boolean;
   isNew: boolean;
-  /** A machine at work whose tasks will be over before a new one could be up. */
-  soon: MachineId | null;
+  /** Of a machine in use whose tasks will end before a new machine could be up; null for all other bins. */
+  id: MachineId | null;
   count: number;
 }
 
-const priceOf = (t: MachineType, spot: boolean): number => (spot ? t.spotPrice : t.price);
+const priceOf = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
 
-/** So many times its type's own time a machine is waited for: before more is rented, before it is returned. */
-const BOOT_WAIT = 3;
-const BOOT_MOST = 3.5;
-/** While nothing of its kind has come up lately, machines at all may be what is late. */
-const BOOT_SLOW = 12;
-const LATELY_MS = 180_000;
+/** In boot times of the type: how long a booting machine is counted on, and after how long it is returned. */
+const WAIT_BOOTS = 3;
+const MAX_BOOTS = 3.5;
+/** Used in both places while no machine of the offer has come up recently: all its boots may be slow. */
+const SLOW_BOOTS = 12;
+const RECENT_BOOT_MS = 180_000;
 
-/** How long machines that boot are waited for, by what boots of their type, zone and kind were lately worth. */
-export class Boots {
-  private readonly kinds = new Map<string, { slowest: number; oldest: WallMs }>();
+/** How long booting machines are waited for, by recent boots of the same offer: type, zone, spot or not. */
+export class BootTimeouts {
+  private readonly boots = new Map<string, { slowest: number; oldest: WallMs }>();
 
   constructor(
     private readonly state: ClusterState,
     private readonly now: WallMs,
   ) {
-    for (const m of state.machines.values()) {
-      const k = this.kinds.get(kindOf(m)) ?? { slowest: 0, oldest: now };
-      this.kinds.set(kindOf(m), k);
-      if (m.session === 0) k.oldest = Math.min(k.oldest, m.hiredAt) as WallMs;
-      else if (now - m.upAt < LATELY_MS) k.slowest = Math.max(k.slowest, m.upAt - m.hiredAt);
+    for (const machine of state.machines.values()) {
+      const boots = this.boots.get(offerId(machine)) ?? { slowest: 0, oldest: now };
+      this.boots.set(offerId(machine), boots);
+      if (machine.session === 0) boots.oldest = Math.min(boots.oldest, machine.hiredAt) as WallMs;
+      else if (now - machine.upAt < RECENT_BOOT_MS)
+        boots.slowest = Math.max(boots.slowest, machine.upAt - machine.hiredAt);
     }
   }
 
-  private nominal(m: Machine): number {
-    return (this.state.machineTypes.get(m.type)?.boot ?? 30) * 1000;
+  private nominalMs(machine: Machine): number {
+    return (this.state.machineTypes.get(machine.type)?.boot ?? 30) * 1000;
   }
 
-  /** Whether a machine counts as on its way for work that waits. */
-  awaited(m: Machine): boolean {
-    const { slowest, oldest } = this.kinds.get(kindOf(m))!;
-    const boot = this.nominal(m);
-    // Guards against renting in a loop: where nothing comes up, what is late is replaced once.
-    const second = slowest === 0 && this.now - oldest > boot * BOOT_WAIT && m.hiredAt - oldest > boot;
-    return this.now - m.hiredAt < Math.max(boot * (second ? BOOT_SLOW : BOOT_WAIT), slowest * 1.2);
+  /** Whether a booting machine still counts as capacity for waiting tasks. */
+  isAwaited(machine: Machine): boolean {
+    const { slowest, oldest } = this.boots.get(offerId(machine))!;
+    const boot = this.nominalMs(machine);
+    // Prevents rentals in a loop: where no machine comes up, late machines are replaced only once.
+    const retry = slowest === 0 && this.now - oldest > boot * WAIT_BOOTS && machine.hiredAt - oldest > boot;
+    return this.now - machine.hiredAt < Math.max(boot * (retry ? SLOW_BOOTS : WAIT_BOOTS), slowest * 1.2);
   }
 
-  /** Guards against returning all machines just before they come up: never, while every boot is late. */
-  neverUp(m: Machine): boolean {
-    const { slowest } = this.kinds.get(kindOf(m))!;
-    const boot = this.nominal(m);
-    const most = Math.max(60_000, slowest > 0 ? Math.max(boot * BOOT_MOST, slowest * 1.5) : boot * BOOT_SLOW);
-    return this.now - m.hiredAt > most;
+  /** Whether a machine took too long to boot. Slow boots get more time, lest all be returned just too early. */
+  neverCameUp(machine: Machine): boolean {
+    const { slowest } = this.boots.get(offerId(machine))!;
+    const boot = this.nominalMs(machine);
+    const max = Math.max(60_000, slowest > 0 ? Math.max(boot * MAX_BOOTS, slowest * 1.5) : boot * SLOW_BOOTS);
+    return this.now - machine.hiredAt > max;
   }
 }
 
-const kindOf = (m: { type: string; zone: string; spot: boolean }): string => `${m.type}|${m.zone}|${m.spot}`;
+const offerId = (m: { type: string; zone: string; spot: boolean }): string => `${m.type}|${m.zone}|${m.spot}`;
 
-/** What to rent for the tasks that found no room, machines on their way counted first. */
+/** Plans rentals for unplaced tasks, beyond what booting machines and tasks about to end will provide. */
 export function planRentals(input: CapacityInput): LogEntry[] {
   const { state, now, unplaced } = input;
   if (unplaced.length === 0) return [];
-  const offers: { t: MachineType; zone: string; spot: boolean }[] = [];
-  for (const t of state.machineTypes.values())
-    for (const zone of t.zones)
+  /** What the cloud may have: machines of a type in a zone, spot or on demand. */
+  const offers: { type: MachineType; zone: string; spot: boolean }[] = [];
+  for (const type of state.machineTypes.values())
+    for (const zone of type.zones)
       for (const spot of [true, false])
-        if (input.zones.includes(zone) && !input.isBackedOff(t.name, zone, spot))
-          offers.push({ t, zone, spot });
-  // On a day that takes all the cloud has there is nothing to count.
+        if (input.zones.includes(zone) && !input.isBackedOff(type.name, zone, spot))
+          offers.push({ type, zone, spot });
+  // On days when the cloud has nothing left to rent, the calculations below are skipped.
   if (offers.length === 0) return [];
   const bins: Bin[] = [];
-  const whole = new Map<string, Bin>();
-  const group = (type: MachineType, zone: string, spot: boolean, isNew: boolean, n = 1): Bin => {
+  const emptyBins = new Map<string, Bin>();
+  const addBins = (type: MachineType, zone: string, spot: boolean, isNew: boolean, n = 1): Bin => {
     const key = `${type.name}|${zone}|${spot}|${isNew}`;
-    let b = whole.get(key);
-    if (!b) {
-      b = { type, zone, spot, cpus: type.cpus, gpus: type.gpus, mem: type.mem, isNew, soon: null, count: 0 };
-      whole.set(key, b);
-      bins.push(b);
+    let bin = emptyBins.get(key);
+    if (!bin) {
+      bin = { type, zone, spot, cpus: type.cpus, gpus: type.gpus, mem: type.mem, isNew, id: null, count: 0 };
+      emptyBins.set(key, bin);
+      bins.push(bin);
     }
-    b.count += n;
-    return b;
+    bin.count += n;
+    return bin;
   };
-  /** CPUs that are rented in each zone. */
-  const held = new Map<string, number>();
-  const boots = new Boots(state, now);
-  for (const m of state.machines.values()) {
-    const t = state.machineTypes.get(m.type);
-    held.set(m.zone, (held.get(m.zone) ?? 0) + (t?.cpus ?? 0));
-    if (t && m.session === 0 && !m.drop && boots.awaited(m)) group(t, m.zone, m.spot, false);
+  const rentedCpus = new Map<string, number>();
+  const bootTimeouts = new BootTimeouts(state, now);
+  for (const machine of state.machines.values()) {
+    const type = state.machineTypes.get(machine.type);
+    rentedCpus.set(machine.zone, (rentedCpus.get(machine.zone) ?? 0) + (type?.cpus ?? 0));
+    if (type && machine.session === 0 && !machine.drop && bootTimeouts.isAwaited(machine))
+      addBins(type, machine.zone, machine.spot, false);
   }
-  for (const h of state.pendingRentals.values()) {
-    const t = state.machineTypes.get(h.type);
-    if (t) group(t, h.zone, h.spot, false, h.n);
+  for (const rental of state.pendingRentals.values()) {
+    const type = state.machineTypes.get(rental.type);
+    if (type) addBins(type, rental.zone, rental.spot, false, rental.n);
   }
-  // A place that comes free before a new machine could be up is better waited for.
-  const least: Resources = { cpus: Infinity, gpus: Infinity, mem: Infinity };
+  // Resources that become free before a new machine could be up are worth waiting for, unless a job is
+  // urgent.
+  const smallest: Resources = { cpus: Infinity, gpus: Infinity, mem: Infinity };
   for (const { job } of unplaced)
-    for (const k of ['cpus', 'gpus', 'mem'] as const) least[k] = Math.min(least[k], job.spec[k]);
-  const patient = unplaced.some((u) => priorityRank[u.job.spec.priority] < priorityRank.high);
-  for (const m of patient ? input.usable : []) {
-    const t = state.machineTypes.get(m.type);
-    if (!t) continue;
-    const r = input.freeResources(m);
-    for (const l of m.live) if (input.secondsRemaining(l) < Math.min(t.boot, 20)) addTo(r, l.job.spec);
-    if (fits(r, least))
-      bins.push({ type: t, zone: m.zone, spot: m.spot, ...r, isNew: false, soon: m.id, count: 1 });
+    for (const k of ['cpus', 'gpus', 'mem'] as const) smallest[k] = Math.min(smallest[k], job.spec[k]);
+  const anyCanWait = unplaced.some((u) => priorityRank[u.job.spec.priority] < priorityRank.high);
+  for (const vm of anyCanWait ? input.usable : []) {
+    const vmType = state.machineTypes.get(vm.type);
+    if (!vmType) continue;
+    const free = input.freeResources(vm);
+    for (const attempt of vm.live)
+      if (input.secondsRemaining(attempt) < Math.min(vmType.boot, 20)) addTo(free, attempt.job.spec);
+    if (fits(free, smallest))
+      bins.push({ type: vmType, zone: vm.zone, spot: vm.spot, ...free, isNew: false, id: vm.id, count: 1 });
   }
-  /** Puts up to so many tasks into equal bins; what is left of each stays for others. */
-  const fill = (b: Bin, s: Resources, n: number): number => {
-    const per = slotCount(b, s);
-    if (per === 0 || b.count === 0 || n === 0) return 0;
-    const split = (count: number, k: number): void => {
+  /** Packs tasks into a bin's machines, splitting off those; returns how many tasks found a place. */
+  const packInto = (bin: Bin, request: Resources, taskCount: number): number => {
+    const perMachine = slotCount(bin, request);
+    if (perMachine === 0 || bin.count === 0 || taskCount === 0) return 0;
+    const split = (count: number, tasksEach: number): void => {
       if (count === 0) return;
-      const rest = { ...b, count };
-      addTo(rest, s, -k);
-      b.count -= count;
+      const rest = { ...bin, count };
+      addTo(rest, request, -tasksEach);
+      bin.count -= count;
       bins.push(rest);
     };
-    const full = Math.min(b.count, Math.floor(n / per));
-    split(full, per);
-    const odd = b.count > 0 ? n % per : 0;
-    if (odd > 0) split(1, odd);
-    return full * per + odd;
+    const full = Math.min(bin.count, Math.floor(taskCount / perMachine));
+    split(full, perMachine);
+    const rest = bin.count > 0 ? taskCount % perMachine : 0;
+    if (rest > 0) split(1, rest);
+    return full * perMachine + rest;
   };
-  const scarce = soleFitTypes(state);
-  const rented = new Map<string, { of: Bin; n: number }>();
+  const soleFits = soleFitTypes(state);
+  const rented = new Map<string, { bin: Bin; machineCount: number }>();
   for (const { job, tasks, zone } of unplaced) {
-    const s = job.spec;
-    const types = [...state.machineTypes.values()].filter((t) => fitsType(s, t));
-    const waits = priorityRank[s.priority] < priorityRank.high;
-    const fragile = isRestartCritical(job, now, input.completionObjectiveS(s.class));
-    const may = (b: Bin): boolean =>
-      b.count > 0 &&
-      (b.soon === null || (waits && !avoidsMachine(job, b.soon))) &&
-      fits(b, s) &&
-      meetsConstraints(job, { type: b.type.name, zone: b.zone, spot: b.spot });
-    const onSpot = s.spot && input.policy.rentSpot(s);
-    const kinds = (z: string | null): { t: MachineType; zone: string; spot: boolean; c: number }[] =>
+    const spec = job.spec;
+    const types = [...state.machineTypes.values()].filter((type) => fitsType(spec, type));
+    const canWait = priorityRank[spec.priority] < priorityRank.high;
+    const restartCritical = isRestartCritical(job, now, input.completionObjectiveS(spec.class));
+    const isEligible = (bin: Bin): boolean =>
+      bin.count > 0 &&
+      (bin.id === null || (canWait && !avoidsMachine(job, bin.id))) &&
+      fits(bin, spec) &&
+      meetsConstraints(job, { type: bin.type.name, zone: bin.zone, spot: bin.spot });
+    const rentsSpot = spec.spot && input.policy.rentSpot(spec);
+    const options = (at: string | null): { type: MachineType; zone: string; spot: boolean; cost: number }[] =>
       offers
         .filter(
-          (o) =>
-            types.includes(o.t) &&
-            (!s.zone || o.zone === s.zone) &&
-            (z === null || o.zone === z) &&
-            (onSpot || !o.spot),
+          (offer) =>
+            types.includes(offer.type) &&
+            (!spec.zone || offer.zone === spec.zone) &&
+            (at === null || offer.zone === at) &&
+            (rentsSpot || !offer.spot),
         )
-        .map((o) => {
-          const per = Math.max(1, Math.min(tasks, slotCount(o.t, s)));
-          const c = (priceOf(o.t, o.spot) / per) * (1 + o.t.boot / 600);
-          // What only this type can hold should find some of it; a gang loses with any one of its
-          // machines what all of them did.
-          const wanted = !o.spot && types.length > 1 && scarce.has(o.t.name) ? 1.3 : 1;
-          const risk = s.gang ? 1 + 0.15 * s.tasks : fragile ? 3 : 1;
-          return { ...o, c: c * wanted * (o.spot ? risk : 1) };
+        .map((offer) => {
+          const perMachine = Math.max(1, Math.min(tasks, slotCount(offer.type, spec)));
+          const cost = (priceOf(offer.type, offer.spot) / perMachine) * (1 + offer.type.boot / 600);
+          // Machines of a type that some job depends on should be left to it. A gang that loses any one of
+          // its spot machines loses the work of all its tasks.
+          const scarcity = !offer.spot && types.length > 1 && soleFits.has(offer.type.name) ? 1.3 : 1;
+          const risk = spec.gang ? 1 + 0.15 * spec.tasks : restartCritical ? 3 : 1;
+          return { ...offer, cost: cost * scarcity * (offer.spot ? risk : 1) };
         })
-        .sort((a, b) => a.c - b.c);
-    let z: string | null = zone;
+        .sort((a, b) => a.cost - b.cost);
+    let target: string | null = zone;
     let left = tasks;
-    if (s.oneZone && z !== null && s.gang && job.live.size === 0 && kinds(z).length === 0) {
-      // Nothing more is to be had where the places are: the whole gang may do better elsewhere.
-      z = null;
-      left = s.tasks;
+    if (spec.oneZone && target !== null && spec.gang && job.live.size === 0 && options(target).length === 0) {
+      // Nothing can be rented in the zone of the reserved places: another zone may take the whole gang.
+      target = null;
+      left = spec.tasks;
     }
-    if (s.oneZone && z === null) {
-      // All of one zone or nothing: the zone that has most of it on its way, if it can give the rest.
-      const on = new Map<string, number>();
-      for (const b of bins)
-        if (may(b)) on.set(b.zone, (on.get(b.zone) ?? 0) + Math.min(left, b.count * slotCount(b, s)));
-      const can = new Set(kinds(null).map((k) => k.zone));
-      const zones = [...new Set([...on.keys(), ...can])];
-      const worth = (x: string): number => {
-        const have = Math.min(left, on.get(x) ?? 0);
-        return have === left || can.has(x) ? have : -1;
+    if (spec.oneZone && target === null) {
+      // All tasks have to go to one zone: the one with the most places in bins that can also provide the
+      // rest.
+      const slots = new Map<string, number>();
+      for (const bin of bins)
+        if (isEligible(bin))
+          slots.set(bin.zone, (slots.get(bin.zone) ?? 0) + Math.min(left, bin.count * slotCount(bin, spec)));
+      const rentableZones = new Set(options(null).map((offer) => offer.zone));
+      const zones = [...new Set([...slots.keys(), ...rentableZones])];
+      const worth = (name: string): number => {
+        const found = Math.min(left, slots.get(name) ?? 0);
+        return found === left || rentableZones.has(name) ? found : -1;
       };
-      // Equal zones share the load.
-      const by = zones.map((x) => ({ x, w: worth(x), r: held.get(x) ?? 0 }));
-      by.sort((a, b) => b.w - a.w || a.r - b.r);
-      if (by.length === 0 || by[0]!.w < 0) continue;
-      z = by[0]!.x;
+      // Among equal zones, the one with the fewest rented CPUs: that spreads the load.
+      const ranked = zones.map((name) => ({ name, worth: worth(name), cpus: rentedCpus.get(name) ?? 0 }));
+      ranked.sort((a, b) => b.worth - a.worth || a.cpus - b.cpus);
+      if (ranked.length === 0 || ranked[0]!.worth < 0) continue;
+      target = ranked[0]!.name;
     }
     for (let i = 0, n = bins.length; i < n && left > 0; i++) {
-      const b = bins[i]!;
-      if (may(b) && (z === null || b.zone === z)) left -= fill(b, s, left);
+      const bin = bins[i]!;
+      if (isEligible(bin) && (target === null || bin.zone === target)) left -= packInto(bin, spec, left);
     }
     if (left === 0) continue;
-    const pick = kinds(z)[0];
-    if (!pick) continue;
-    const per = slotCount(pick.t, s);
-    const n = Math.ceil(left / per);
-    const b = group(pick.t, pick.zone, pick.spot, true, n);
-    fill(b, s, left);
-    const key = `${pick.t.name}|${pick.zone}|${pick.spot}`;
-    const r = rented.get(key) ?? { of: b, n: 0 };
-    r.n += n;
-    rented.set(key, r);
+    const best = options(target)[0];
+    if (!best) continue;
+    const perMachine = slotCount(best.type, spec);
+    const machineCount = Math.ceil(left / perMachine);
+    const added = addBins(best.type, best.zone, best.spot, true, machineCount);
+    packInto(added, spec, left);
+    const key = `${best.type.name}|${best.zone}|${best.spot}`;
+    const rental = rented.get(key) ?? { bin: added, machineCount: 0 };
+    rental.machineCount += machineCount;
+    rented.set(key, rental);
   }
-  return [...rented.values()].flatMap(({ of: b, n }) => {
-    const out: LogEntry[] = [];
-    for (let left = Math.min(n, MOST_RENTED); left > 0; left -= 50)
-      out.push({
+  return [...rented.values()].flatMap(({ bin, machineCount }) => {
+    const entries: LogEntry[] = [];
+    for (let left = Math.min(machineCount, MAX_RENTED); left > 0; left -= 50)
+      entries.push({
         e: 'hire',
         name: input.nextRentalName(),
-        type: b.type.name,
-        zone: b.zone,
-        spot: b.spot,
+        type: bin.type.name,
+        zone: bin.zone,
+        spot: bin.spot,
         n: Math.min(left, 50),
       });
-    return out;
+    return entries;
   });
 }
 
-/** Of one type, zone and kind in one round: the answers say whether there are more. */
-const MOST_RENTED = 150;
+/** Most machines of one offer in one round; the cloud's answers tell whether it has more. */
+const MAX_RENTED = 150;
 
-/** Machines to give back: silent, never up, set aside or idle for too long. */
+/** Plans returns of machines that never came up, are silent, faulty or idle, or hold overdue tasks. */
 export function planReturns(input: CapacityInput): LogEntry[] {
   const { state, now } = input;
-  const by = new Map<string, MachineId[]>();
-  const add = (why: string, m: Machine): void => {
-    const of = by.get(why) ?? [];
-    by.set(why, of);
-    of.push(m.id);
+  const drops = new Map<string, MachineId[]>();
+  const add = (reason: string, machine: Machine): void => {
+    const ids = drops.get(reason) ?? [];
+    drops.set(reason, ids);
+    ids.push(machine.id);
   };
-  const boots = new Boots(state, now);
-  for (const m of state.machines.values()) {
-    if (m.drop) continue;
-    const of = { zone: m.zone, spot: m.spot, type: state.machineTypes.get(m.type) };
-    if (m.session === 0) {
-      if (boots.neverUp(m)) add('never up', m);
+  const bootTimeouts = new BootTimeouts(state, now);
+  for (const machine of state.machines.values()) {
+    if (machine.drop) continue;
+    const kind = { zone: machine.zone, spot: machine.spot, type: state.machineTypes.get(machine.type) };
+    if (machine.session === 0) {
+      if (bootTimeouts.neverCameUp(machine)) add('never up', machine);
       continue;
     }
-    const silent = input.secondsSilent(m);
-    // When most are silent at once, the way to them may be what is broken; but past their lease
-    // nothing is left on them that waiting could save.
-    const most = input.mostAreSilent
-      ? Math.max(input.policy.silenceTimeoutS(of), input.leaseS * 1.25 + 3)
-      : input.policy.silenceTimeoutS(of);
-    if (silent > most) add('silent', m);
-    else if (m.stopping > 0 && [...m.live].some(input.isOverdue)) add('withdrawn', m);
-    else if (m.errors >= 2) add('faulty', m);
+    const silentS = input.secondsSilent(machine);
+    // When most machines are silent, the network may be at fault, so they get more time. Once their lease has
+    // expired, nothing is left on them that waiting could save.
+    const timeoutS = input.mostAreSilent
+      ? Math.max(input.policy.silenceTimeoutS(kind), input.leaseS * 1.25 + 3)
+      : input.policy.silenceTimeoutS(kind);
+    if (silentS > timeoutS) add('silent', machine);
+    else if (machine.stopping > 0 && [...machine.live].some(input.isOverdue)) add('withdrawn', machine);
+    else if (machine.errors >= 2) add('faulty', machine);
     else if (
-      m.live.size === 0 &&
-      !input.retained.has(m) &&
-      now - m.hiredAt > 50_000 &&
-      now - m.idleSince > input.policy.idleTimeoutS(of) * 1000
+      machine.live.size === 0 &&
+      !input.retained.has(machine) &&
+      now - machine.hiredAt > 50_000 &&
+      now - machine.idleSince > input.policy.idleTimeoutS(kind) * 1000
     )
-      add('idle', m);
+      add('idle', machine);
   }
-  return [...by].flatMap(([why, all]) => chunked(all, 200).map((m): LogEntry => ({ e: 'drop', m, why })));
+  return [...drops].flatMap(([why, ids]) => chunked(ids, 200).map((m): LogEntry => ({ e: 'drop', m, why })));
 }
