--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -85,7 +85,7 @@
     return this.now - machine.hiredAt < Math.max(boot * (retry ? SLOW_BOOTS : WAIT_BOOTS), slowest * 1.2);
   }
 
-  /** Whether a machine took too long to boot. Slow boots get more time, lest all be returned just too early. */
+  /** Whether a machine boots for too long. Slow boots get more time, or all may be returned too early. */
   neverCameUp(machine: Machine): boolean {
     const { slowest } = this.boots.get(offerId(machine))!;
     const boot = this.nominalMs(machine);
--- a/test/preemption.test.ts
+++ b/test/preemption.test.ts
@@ -11,7 +11,7 @@
   { name: 'red', cpus: 8, cpusMax: 100, gpus: 0, gpusMax: 0 },
   { name: 'blue', cpus: 8, cpusMax: 100, gpus: 0, gpusMax: 0 },
 ];
-const spec = (id: number, over: Partial<JobSpec>): JobSpec => ({
+const spec = (id: number, overrides: Partial<JobSpec>): JobSpec => ({
   id: `wk-${id}` as JobSpec['id'],
   class: 'c',
   team: 'red',
@@ -32,12 +32,13 @@
   checkpoint: 0,
   save: 0,
   deadline: null,
-  ...over,
+  ...overrides,
 });
 
-function world(entries: LogEntry[]) {
+/** A state with one machine; `round` runs placement and preemption, and records their entries. */
+function createCluster(entries: LogEntry[]) {
   const state = new ClusterState();
-  const write = (list: LogEntry[]): void => record(state, list, state.nextRecord);
+  const write = (added: LogEntry[]): void => record(state, added, state.nextRecord);
   write([{ e: 'types', types: [box] }]);
   write([{ e: 'up', m: 'vm-1' as MachineId, addr: 'x', type: 'box', zone: 'a', spot: false, s: 1 as never }]);
   write(entries);
@@ -58,7 +59,7 @@
       isFetching: () => fetching,
       maxStarts: 100,
     });
-    const p = preempt({
+    const preempted = preempt({
       claims: order,
       state,
       teams,
@@ -69,85 +70,89 @@
       secondsRun: () => 60,
       minRank: priorityRank.high,
     });
-    write([...placed.entries, ...p.entries]);
-    return { starts: placed.entries, stops: p.entries, left: p.unplaced };
+    write([...placed.entries, ...preempted.entries]);
+    return { starts: placed.entries, stops: preempted.entries, left: preempted.unplaced };
   };
   return { state, write, round };
 }
 
 describe('a gang that fetches its image', () => {
-  it('shares its machine with no other fetch, but with work of the same image', () => {
-    const w = world([{ e: 'job', spec: spec(1, { gang: true, tasks: 2, cpus: 2.5 }) }]);
-    expect(w.round().starts).toMatchObject([{ job: 'wk-1' }]);
-    w.write([
+  it('shares its machine with no other fetch, but with jobs of the same image', () => {
+    const cluster = createCluster([{ e: 'job', spec: spec(1, { gang: true, tasks: 2, cpus: 2.5 }) }]);
+    expect(cluster.round().starts).toMatchObject([{ job: 'wk-1' }]);
+    cluster.write([
       { e: 'job', spec: spec(2, { cpus: 1, image: 'other' }) },
       { e: 'job', spec: spec(3, { cpus: 1 }) },
     ]);
-    expect(w.round(1e6, true).starts).toMatchObject([{ job: 'wk-3' }]);
-    expect(w.round(1e6, false).starts).toMatchObject([{ job: 'wk-2' }]);
+    expect(cluster.round(1e6, true).starts).toMatchObject([{ job: 'wk-3' }]);
+    expect(cluster.round(1e6, false).starts).toMatchObject([{ job: 'wk-2' }]);
   });
 });
 
-describe('room for a claim', () => {
-  it('is drained for a gang that waits for long: half-empty machines get no lesser work', () => {
-    const w = world([{ e: 'job', spec: spec(1, { team: 'blue', cpus: 4 }) }]);
-    w.write([
+describe('resources for a claim', () => {
+  it('are drained for a gang that has waited for long: partly used machines get no other job', () => {
+    const cluster = createCluster([{ e: 'job', spec: spec(1, { team: 'blue', cpus: 4 }) }]);
+    cluster.write([
       { e: 'up', m: 'vm-2' as MachineId, addr: 'y', type: 'box', zone: 'a', spot: false, s: 1 as never },
       { e: 'job', spec: spec(2, { team: 'blue', cpus: 5 }) },
     ]);
-    expect(w.round().starts).toHaveLength(2);
-    w.write([
+    expect(cluster.round().starts).toHaveLength(2);
+    cluster.write([
       { e: 'job', spec: spec(3, { gang: true, tasks: 2, cpus: 8 }) },
       { e: 'job', spec: spec(4, { team: 'blue', priority: 'low', cpus: 1 }) },
     ]);
-    expect(w.round().starts).toEqual([]);
-    const fresh = world([{ e: 'job', spec: spec(1, { team: 'blue', cpus: 4 }) }]);
-    fresh.round();
-    fresh.write([
+    expect(cluster.round().starts).toEqual([]);
+    const youngGang = createCluster([{ e: 'job', spec: spec(1, { team: 'blue', cpus: 4 }) }]);
+    youngGang.round();
+    youngGang.write([
       { e: 'job', spec: spec(3, { gang: true, tasks: 2, cpus: 8 }) },
       { e: 'job', spec: spec(4, { team: 'blue', priority: 'low', cpus: 1 }) },
     ]);
-    expect(fresh.round(20_000).starts).toMatchObject([{ job: 'wk-4' }]);
+    expect(youngGang.round(20_000).starts).toMatchObject([{ job: 'wk-4' }]);
   });
 
-  it('is made by stopping lower work, and kept while it is being made', () => {
-    const w = world([{ e: 'job', spec: spec(1, { team: 'blue', priority: 'low', tasks: 2 }) }]);
-    expect(w.round().starts).toHaveLength(1);
-    w.write([{ e: 'job', spec: spec(2, { priority: 'high', gang: true, cpus: 8 }) }]);
-    const r = w.round();
-    expect(r.stops).toMatchObject([{ job: 'wk-1', p: [0, 1], grace: 0 }]);
-    expect(r.left).toEqual([]);
-    // One task is gone: its room is too little for the claim, and no lesser job may take it.
-    w.write([{ e: 'end', p: [['wk-1' as JobSpec['id'], 0, 1, 'stopped', false]] }]);
-    expect(w.round().starts).toEqual([]);
-    w.write([{ e: 'end', p: [['wk-1' as JobSpec['id'], 1, 1, 'stopped', false]] }]);
-    expect(w.round().starts).toMatchObject([{ job: 'wk-2' }]);
+  it('are freed by preempting a job of lower priority, and reserved meanwhile', () => {
+    const cluster = createCluster([{ e: 'job', spec: spec(1, { team: 'blue', priority: 'low', tasks: 2 }) }]);
+    expect(cluster.round().starts).toHaveLength(1);
+    cluster.write([{ e: 'job', spec: spec(2, { priority: 'high', gang: true, cpus: 8 }) }]);
+    const result = cluster.round();
+    expect(result.stops).toMatchObject([{ job: 'wk-1', p: [0, 1], grace: 0 }]);
+    expect(result.left).toEqual([]);
+    // One task has ended: its resources are not enough for the claim, and no other job may take them.
+    cluster.write([{ e: 'end', p: [['wk-1' as JobSpec['id'], 0, 1, 'stopped', false]] }]);
+    expect(cluster.round().starts).toEqual([]);
+    cluster.write([{ e: 'end', p: [['wk-1' as JobSpec['id'], 1, 1, 'stopped', false]] }]);
+    expect(cluster.round().starts).toMatchObject([{ job: 'wk-2' }]);
   });
 
-  it('is never made at the cost of equal or higher work within its guarantee', () => {
-    const w = world([{ e: 'job', spec: spec(1, { team: 'blue', priority: 'high', tasks: 2 }) }]);
-    w.round();
-    w.write([{ e: 'job', spec: spec(2, { priority: 'high', gang: true, cpus: 8 }) }]);
-    expect(w.round().stops).toEqual([]);
+  it('are not freed by preempting a job of equal priority within its guarantee', () => {
+    const cluster = createCluster([
+      { e: 'job', spec: spec(1, { team: 'blue', priority: 'high', tasks: 2 }) },
+    ]);
+    cluster.round();
+    cluster.write([{ e: 'job', spec: spec(2, { priority: 'high', gang: true, cpus: 8 }) }]);
+    expect(cluster.round().stops).toEqual([]);
   });
 
-  it('is made for a guarantee from what another team runs beyond its own', () => {
-    const w = world([{ e: 'job', spec: spec(1, { team: 'blue', priority: 'high', tasks: 4, cpus: 2 }) }]);
-    w.write([{ e: 'job', spec: spec(3, { team: 'blue', priority: 'high', tasks: 1, cpus: 4 }) }]);
-    w.round();
-    // blue holds 8 of its 8 CPUs: nothing of it is beyond its guarantee.
-    w.write([{ e: 'job', spec: spec(2, { priority: 'low', cpus: 2 }) }]);
-    expect(w.round().stops).toEqual([]);
-    w.write([
+  it('are freed for a guaranteed job by preempting a team beyond its own guarantee', () => {
+    const cluster = createCluster([
+      { e: 'job', spec: spec(1, { team: 'blue', priority: 'high', tasks: 4, cpus: 2 }) },
+    ]);
+    cluster.write([{ e: 'job', spec: spec(3, { team: 'blue', priority: 'high', tasks: 1, cpus: 4 }) }]);
+    cluster.round();
+    // Team blue uses 8 of its 8 CPUs, so nothing that it runs is beyond its guarantee.
+    cluster.write([{ e: 'job', spec: spec(2, { priority: 'low', cpus: 2 }) }]);
+    expect(cluster.round().stops).toEqual([]);
+    cluster.write([
       { e: 'up', m: 'vm-2' as MachineId, addr: 'y', type: 'box', zone: 'a', spot: false, s: 1 as never },
       { e: 'job', spec: spec(4, { team: 'blue', priority: 'high', tasks: 3, cpus: 2 }) },
     ]);
-    w.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 2e6 as WallMs;
-    w.round();
-    w.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 0 as WallMs;
-    w.write([{ e: 'job', spec: spec(5, { priority: 'low', cpus: 2, tasks: 2 }) }]);
-    const stops = w.round().stops as { job: string }[];
+    cluster.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 2e6 as WallMs;
+    cluster.round();
+    cluster.state.jobs.get('wk-2' as JobSpec['id'])!.notBefore = 0 as WallMs;
+    cluster.write([{ e: 'job', spec: spec(5, { priority: 'low', cpus: 2, tasks: 2 }) }]);
+    const stops = cluster.round().stops as { job: string }[];
     expect(stops.length).toBeGreaterThan(0);
-    expect(stops.every((s) => s.job !== 'wk-1')).toBe(true);
+    expect(stops.every((stop) => stop.job !== 'wk-1')).toBe(true);
   });
 });
