--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -89,8 +89,11 @@
   neverCameUp(machine: Machine): boolean {
     const { slowest } = this.boots.get(offerId(machine))!;
     const boot = this.nominalMs(machine);
-    const max = Math.max(60_000, slowest > 0 ? Math.max(boot * MAX_BOOTS, slowest * 1.5) : boot * SLOW_BOOTS);
-    return this.now - machine.hiredAt > max;
+    const timeoutMs = Math.max(
+      60_000,
+      slowest > 0 ? Math.max(boot * MAX_BOOTS, slowest * 1.5) : boot * SLOW_BOOTS,
+    );
+    return this.now - machine.hiredAt > timeoutMs;
   }
 }
 
--- a/src/core/reserve.ts
+++ b/src/core/reserve.ts
@@ -6,9 +6,9 @@
 
 /**
  * Reserves resources that tasks being stopped will release; for a gang only if they suffice for all of its
- * tasks. Otherwise a gang reserves the places that are free already, or it would starve behind small tasks
- * that take each place as soon as it becomes free. Returns how many tasks have a place, and the zone of a
- * one-zone job's places.
+ * tasks. Otherwise the places that are free already are reserved for the first gang that needs them, or it
+ * would starve behind small tasks that take each place as soon as it becomes free. Returns how many tasks
+ * have a place, and the zone of a one-zone job's places.
  */
 export function reserve(
   feasible: Candidate[],
--- a/test/large-sites.test.ts
+++ b/test/large-sites.test.ts
@@ -3,7 +3,7 @@
 import { box, World } from './fakes/world.js';
 
 describe('large clusters and simultaneous failures', () => {
-  it('6,000 tasks on 1,000 machines end though the leader and a fifth of them fail, twice', async () => {
+  it('6,000 tasks on 1,000 machines end though the leader and each fifth machine fail, twice', async () => {
     const world = new World(70, [box], {
       teams: [
         { name: 'red', cpus: 7000, cpus_max: 9000 },
