--- a/src/actors/admission.ts
+++ b/src/actors/admission.ts
@@ -1,4 +1,4 @@
-/** Takes users' requests on the leader. */
+/** Handles users' requests on the leader: submissions, status queries and cancellations. */
 import { checkAdmission } from '../core/fit.js';
 import type { Job } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
@@ -8,43 +8,51 @@
 import { Actor } from './actor.js';
 import type { LogActor } from './log.js';
 
+/** The reply to a user's request: HTTP status, body and retry time. */
 export interface Reply {
   status: number;
   body: object;
-  /** Seconds after which to come back. */
+  /** Seconds after which the user should retry. */
   retryAfter?: number;
 }
 
+/** A user's request, as the admission actor takes it. */
 export type UserRequest =
   | { kind: 'submit'; spec: JobSpec; reply: (r: Reply) => void }
   | { kind: 'show'; job: JobId; reply: (r: Reply) => void }
   | { kind: 'withdraw'; job: JobId; reply: (r: Reply) => void };
 
+/** A refusal with the time after which the user should retry. */
 export const retryLater = (why: string, seconds = 1, status = 503): Reply => ({
   status,
   body: { error: why },
   retryAfter: seconds,
 });
 
-/** What the log says of a finished job is final, so any node may say it at any time. */
-export function finalAnswer(state: ClusterState, id: JobId): Reply | null {
-  const f = state.outcomes.get(id);
-  return f ? { status: 200, body: writeJobStatus(id, f.state, { done: f.done, running: 0 }) } : null;
+/**
+ * The reply about a finished job; null if the job has not finished. The outcome in the log is final, so any
+ * node may report it at any time.
+ */
+export function outcomeReply(state: ClusterState, id: JobId): Reply | null {
+  const outcome = state.outcomes.get(id);
+  return outcome
+    ? { status: 200, body: writeJobStatus(id, outcome.state, { done: outcome.done, running: 0 }) }
+    : null;
 }
 
-/** What the log says of a job; null when it knows no such job. */
+/** The reply about a job according to the log; null if the log knows no such job. */
 export function jobStatusReply(
   state: ClusterState,
   id: JobId,
-  runningOf: (job: Job) => number,
+  countRunning: (job: Job) => number,
 ): Reply | null {
-  const f = finalAnswer(state, id);
-  if (f) return f;
+  const outcome = outcomeReply(state, id);
+  if (outcome) return outcome;
   const job = state.jobs.get(id);
   if (!job) return null;
-  const running = runningOf(job);
-  const s: JobStatus = running > 0 ? 'running' : 'queued';
-  return { status: 200, body: writeJobStatus(id, s, { done: job.done, running }) };
+  const running = countRunning(job);
+  const status: JobStatus = running > 0 ? 'running' : 'queued';
+  return { status: 200, body: writeJobStatus(id, status, { done: job.done, running }) };
 }
 
 export const jobNotFound: Reply = { status: 404, body: { error: 'no such job' } };
@@ -54,29 +62,33 @@
   log: LogActor;
   clock: Clock;
   teams: readonly Team[];
-  /** The size of a value of the state service, in KiB: a job has to fit into one. */
+  /** Maximum size of a value in the state service, in KiB: a job description has to fit into one. */
   maxValueKb: number;
   /** Whether the lock is certain to be held. */
   isCertain: () => boolean;
-  /** How many tasks of a job run. */
+  /** Number of running tasks of a job. */
   countRunningTasks: (job: Job) => number;
-  /** A cancellation is on its way into a record, or no more. */
+  /** Called when a cancellation is about to be written, and again when its write has completed or failed. */
   onCancelling: (job: JobId, isUnderWay: boolean) => void;
 }
 
-/** A request whose record is not written by then is answered with 503. */
-const ANSWER_MS = 1500;
-/** While a write has gone unanswered for longer, what needs a record is refused at once. */
-const STUCK_MS = 700;
-/** How long a question waits for a write under way. */
-export const SETTLE_MS = 1000;
-/** More requests than this don't wait for a record. */
-const QUEUE_MOST = 400;
-
-/** Takes users' requests on the leader; answers come from recorded state only. */
+/** A request whose record is not written within this time is answered with 503. */
+const WRITE_TIMEOUT_MS = 1500;
+/**
+ * While a write has been unanswered for longer than this, requests that need a record are refused at once.
+ */
+const MAX_UNANSWERED_WRITE_MS = 700;
+/** How long a status query waits for a write that is in progress. */
+export const PENDING_WRITE_TIMEOUT_MS = 1000;
+/**
+ * Requests that need a record are refused while more than this many urgent entries are waiting to be written.
+ */
+const MAX_PENDING_URGENT = 400;
+
+/** Handles users' requests on the leader. Replies are derived from recorded state only. */
 export class AdmissionActor extends Actor<UserRequest> {
-  /** Requests that wait for the same record. */
-  private readonly open = new Map<string, ((ok: boolean) => void)[]>();
+  /** Callbacks of the requests that wait for the same entry, by kind of request and job. */
+  private readonly waitingByKey = new Map<string, ((ok: boolean) => void)[]>();
 
   private readonly state: ClusterState;
   private readonly log: LogActor;
@@ -87,97 +99,115 @@
     this.log = options.log;
   }
 
-  protected receive(m: UserRequest): void {
-    if (m.kind === 'submit') this.submit(m.spec, m.reply);
-    else if (m.kind === 'show') this.show(m.job, m.reply);
-    else this.withdraw(m.job, m.reply);
+  protected receive(request: UserRequest): void {
+    if (request.kind === 'submit') this.submit(request.spec, request.reply);
+    else if (request.kind === 'show') this.show(request.job, request.reply);
+    else this.withdraw(request.job, request.reply);
   }
 
-  private standing(id: JobId): Reply | null {
+  private statusReply(id: JobId): Reply | null {
     return jobStatusReply(this.state, id, this.options.countRunningTasks);
   }
 
   private show(id: JobId, reply: (r: Reply) => void): void {
-    const f = finalAnswer(this.state, id);
-    if (f) return reply(f);
-    // Guards forgotten and older answers: only a leader that holds its lock may say what can change.
+    const outcome = outcomeReply(this.state, id);
+    if (outcome) return reply(outcome);
+    // Upholds forgotten, and that no reply is older than an earlier one: only a leader that certainly holds
+    // its lock may report what can still change.
     if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
-    if (this.log.hasWriteInFlightFor(id)) return this.afterWrite(reply, () => this.show(id, reply));
-    reply(this.standing(id) ?? jobNotFound);
+    if (this.log.hasWriteInFlightFor(id)) return this.afterPendingWrites(reply, () => this.show(id, reply));
+    reply(this.statusReply(id) ?? jobNotFound);
   }
 
   /**
-   * Guards forgotten and older answers: what is being written may have been read by others, and said to
-   * users, before its answer is here.
+   * Runs `then` when the writes in progress have completed. Upholds forgotten, and that no reply is older
+   * than an earlier one: other nodes may have read a record, and told users of it, before its writer gets the
+   * answer.
    */
-  private afterWrite(reply: (r: Reply) => void, then: () => void): void {
+  private afterPendingWrites(reply: (r: Reply) => void, then: () => void): void {
     void this.log
-      .whenSettled(SETTLE_MS)
+      .whenSettled(PENDING_WRITE_TIMEOUT_MS)
       .then((ok) => (ok ? then() : reply(retryLater('a write is not answered'))));
   }
 
   private submit(spec: JobSpec, reply: (r: Reply) => void): void {
-    const f = finalAnswer(this.state, spec.id);
-    if (f) return reply(f);
+    const outcome = outcomeReply(this.state, spec.id);
+    if (outcome) return reply(outcome);
     if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
-    if (this.log.hasWriteInFlightFor(spec.id) && !this.open.has(`s ${spec.id}`))
-      return this.afterWrite(reply, () => this.submit(spec, reply));
-    const known = this.standing(spec.id);
+    if (this.log.hasWriteInFlightFor(spec.id) && !this.waitingByKey.has(`s ${spec.id}`))
+      return this.afterPendingWrites(reply, () => this.submit(spec, reply));
+    const known = this.statusReply(spec.id);
     if (known) return reply(known);
-    const no = checkAdmission(spec, this.options.teams, this.state.machineTypes.values());
-    if (no)
-      return reply(no.status === 503 ? retryLater(no.reason) : { status: 422, body: { error: no.reason } });
-    // What no record can hold would stop the pen for good.
+    const refusal = checkAdmission(spec, this.options.teams, this.state.machineTypes.values());
+    if (refusal)
+      return reply(
+        refusal.status === 503
+          ? retryLater(refusal.reason)
+          : { status: 422, body: { error: refusal.reason } },
+      );
+    // An entry that does not fit into any record would block the log for ever.
     if (Buffer.byteLength(JSON.stringify(spec)) > this.options.maxValueKb * 1024 - 400)
-      return reply({ status: 400, body: { error: 'the description is too long to be kept' } });
+      return reply({
+        status: 400,
+        body: { error: 'the job description is too long for one value of the state service' },
+      });
     this.write(`s ${spec.id}`, { e: 'job', spec }, reply, () => ({
-      ...(this.standing(spec.id) ?? retryLater('not written')),
+      ...(this.statusReply(spec.id) ?? retryLater('not written')),
       status: this.state.jobs.has(spec.id) || this.state.outcomes.has(spec.id) ? 201 : 503,
     }));
   }
 
   private withdraw(id: JobId, reply: (r: Reply) => void): void {
-    const f = finalAnswer(this.state, id);
-    if (f) return reply(f);
+    const outcome = outcomeReply(this.state, id);
+    if (outcome) return reply(outcome);
     if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
     if (!this.state.jobs.has(id)) {
-      // Its submission may be on its way into a record.
-      return reply(this.open.has(`s ${id}`) ? retryLater('being submitted') : jobNotFound);
+      // Its submission may still be in progress.
+      return reply(this.waitingByKey.has(`s ${id}`) ? retryLater('being submitted') : jobNotFound);
     }
     this.write(
       `w ${id}`,
       { e: 'withdraw', job: id },
       reply,
-      () => finalAnswer(this.state, id) ?? retryLater('not written'),
+      () => outcomeReply(this.state, id) ?? retryLater('not written'),
     );
   }
 
-  private write(key: string, entry: LogEntry, reply: (r: Reply) => void, then: () => Reply): void {
-    // What can't be written soon is refused at once: the user is told when to come back.
-    if (this.log.unansweredWriteMs > STUCK_MS) return reply(retryLater('the state service does not answer'));
-    if (this.log.pendingUrgent > QUEUE_MOST) return reply(retryLater('too much at once', 2, 429));
-    let answered = false;
-    const end = (r: Reply): void => {
-      if (answered) return;
-      answered = true;
-      cancel();
+  /** Appends an entry and replies once it is written. Requests with the same key share one entry. */
+  private write(
+    key: string,
+    entry: LogEntry,
+    reply: (r: Reply) => void,
+    replyWhenWritten: () => Reply,
+  ): void {
+    // A request that cannot be written soon is refused at once, with the time after which to retry.
+    if (this.log.unansweredWriteMs > MAX_UNANSWERED_WRITE_MS)
+      return reply(retryLater('the state service does not answer'));
+    if (this.log.pendingUrgent > MAX_PENDING_URGENT) return reply(retryLater('too much at once', 2, 429));
+    let isAnswered = false;
+    const answer = (r: Reply): void => {
+      if (isAnswered) return;
+      isAnswered = true;
+      cancelTimeout();
       reply(r);
     };
-    const cancel = this.options.clock.after(ANSWER_MS, () => end(retryLater('not written in time')));
-    const done = (ok: boolean): void =>
-      end(ok && this.options.isCertain() ? then() : retryLater('not written'));
-    const same = this.open.get(key);
-    if (same) return void same.push(done);
-    const list = [done];
-    this.open.set(key, list);
+    const cancelTimeout = this.options.clock.after(WRITE_TIMEOUT_MS, () =>
+      answer(retryLater('not written in time')),
+    );
+    const onSettled = (ok: boolean): void =>
+      answer(ok && this.options.isCertain() ? replyWhenWritten() : retryLater('not written'));
+    const waiting = this.waitingByKey.get(key);
+    if (waiting) return void waiting.push(onSettled);
+    const callbacks = [onSettled];
+    this.waitingByKey.set(key, callbacks);
     if (entry.e === 'withdraw') this.options.onCancelling(entry.job, true);
     this.log.tell({
       entries: [entry],
       urgent: true,
       onSettled: (ok) => {
-        this.open.delete(key);
+        this.waitingByKey.delete(key);
         if (entry.e === 'withdraw') this.options.onCancelling(entry.job, false);
-        for (const d of list) d(ok);
+        for (const callback of callbacks) callback(ok);
       },
     });
   }
--- a/src/actors/cloud.ts
+++ b/src/actors/cloud.ts
@@ -1,3 +1,4 @@
+/** The actor that uses the cloud's API on behalf of the leader. */
 import { chunked } from '../core/chunked.js';
 import type { Machine } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
@@ -12,23 +13,23 @@
 
 type CloudMessage =
   | { kind: 'tick' }
-  /** Machines to be returned without a record: what is withdrawn runs there and can't be stopped. */
+  /** Return these machines without a record: a cancelled task runs there and cannot be stopped otherwise. */
   | { kind: 'returnWithoutRecord'; machines: Machine[] };
 
-const place = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
+const placeKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
-/** Rents, returns and lists machines within the cloud's rate. */
+/** Rents, returns and lists machines within the cloud's rate limit. */
 export class CloudActor extends Actor<CloudMessage> {
-  private readonly renting = new Set<string>();
-  private readonly returning = new Set<MachineId>();
-  private readonly dry = new Map<string, { until: SteadyMs; pause: number }>();
-  private readonly calls: TokenBucket;
+  private readonly rentalsInFlight = new Set<string>();
+  private readonly returnsInFlight = new Set<MachineId>();
+  private readonly backoffs = new Map<string, { until: SteadyMs; backoffMs: number }>();
+  private readonly rateLimit: TokenBucket;
   private listedAt = -Infinity;
-  private listing = false;
-  private typesAt = -Infinity;
-  private typing = false;
-  private notBefore = -Infinity;
-  private readonly strays = new Map<MachineId, SteadyMs>();
+  private isListing = false;
+  private typesReadAt = -Infinity;
+  private isReadingTypes = false;
+  private retryAt = -Infinity;
+  private readonly strayMachines = new Map<MachineId, SteadyMs>();
 
   constructor(
     private readonly state: ClusterState,
@@ -36,145 +37,151 @@
     private readonly log: LogActor,
     private readonly clock: Clock,
     private readonly limits: { rps: number; list_lag_s: number },
-    private readonly certain: () => boolean,
+    private readonly isCertain: () => boolean,
     private readonly logger: Logger,
   ) {
     super();
-    this.calls = new TokenBucket(clock, limits.rps * 0.85, limits.rps);
+    this.rateLimit = new TokenBucket(clock, limits.rps * 0.85, limits.rps);
   }
 
-  /** Whether a type, zone and kind had nothing to give a moment ago. */
-  backoff(type: string, zone: string, spot: boolean): boolean {
-    const d = this.dry.get(place(type, zone, spot));
-    return d !== undefined && d.until > this.clock.steady();
+  /** Whether the cloud recently had fewer machines of a type, zone and kind than requested. */
+  isBackedOff(type: string, zone: string, spot: boolean): boolean {
+    const backoff = this.backoffs.get(placeKey(type, zone, spot));
+    return backoff !== undefined && backoff.until > this.clock.steady();
   }
 
-  private spend(): boolean {
-    if (this.calls.available < 1) return false;
-    this.calls.take(1);
+  private takeToken(): boolean {
+    if (this.rateLimit.available < 1) return false;
+    this.rateLimit.take(1);
     return true;
   }
 
-  protected receive(m: CloudMessage): void {
+  protected receive(message: CloudMessage): void {
     const now = this.clock.steady();
-    if (now < this.notBefore) return;
-    if (m.kind === 'returnWithoutRecord') return this.giveBack(m.machines);
-    if (!this.certain()) return;
-    this.giveBack([...this.state.machines.values()].filter((x) => x.drop));
-    this.rent();
-    if ((this.state.machineTypes.size === 0 || now - this.typesAt > 60_000) && !this.typing && this.spend())
+    if (now < this.retryAt) return;
+    if (message.kind === 'returnWithoutRecord') return this.returnMachines(message.machines);
+    if (!this.isCertain()) return;
+    this.returnMachines([...this.state.machines.values()].filter((machine) => machine.drop));
+    this.requestRentals();
+    if (
+      (this.state.machineTypes.size === 0 || now - this.typesReadAt > 60_000) &&
+      !this.isReadingTypes &&
+      this.takeToken()
+    )
       void this.readTypes();
-    if (now - this.listedAt > 4000 && !this.listing && this.spend()) void this.list();
+    if (now - this.listedAt > 4000 && !this.isListing && this.takeToken()) void this.listMachines();
   }
 
-  private trouble(): void {
-    this.notBefore = this.clock.steady() + 1500;
+  private pauseRequests(): void {
+    this.retryAt = this.clock.steady() + 1500;
   }
 
   private async readTypes(): Promise<void> {
-    this.typing = true;
+    this.isReadingTypes = true;
     const types = await this.cloud.listMachineTypes();
-    this.typing = false;
+    this.isReadingTypes = false;
     if (this.stopped) return;
-    if (!types) return this.trouble();
-    this.typesAt = this.clock.steady();
-    const same = (a: MachineType | undefined, b: MachineType): boolean =>
+    if (!types) return this.pauseRequests();
+    this.typesReadAt = this.clock.steady();
+    const isSame = (a: MachineType | undefined, b: MachineType): boolean =>
       a !== undefined && JSON.stringify(a) === JSON.stringify(b);
     if (
       types.length !== this.state.machineTypes.size ||
-      types.some((t) => !same(this.state.machineTypes.get(t.name), t))
+      types.some((t) => !isSame(this.state.machineTypes.get(t.name), t))
     )
       this.log.tell({ entries: [{ e: 'types', types }] });
   }
 
-  private rent(): void {
-    for (const h of this.state.pendingRentals.values()) {
-      if (this.renting.has(h.name) || !this.spend()) continue;
-      this.renting.add(h.name);
-      void this.cloud.rentMachines(h).then((r) => {
+  private requestRentals(): void {
+    for (const rental of this.state.pendingRentals.values()) {
+      if (this.rentalsInFlight.has(rental.name) || !this.takeToken()) continue;
+      this.rentalsInFlight.add(rental.name);
+      void this.cloud.rentMachines(rental).then((result) => {
         if (this.stopped) return;
-        // Without an answer the same request is repeated under the same name.
-        if (r.outcome === 'trouble') {
-          this.renting.delete(h.name);
-          return this.trouble();
+        // Without an answer, the same request is repeated under the same name.
+        if (result.outcome === 'trouble') {
+          this.rentalsInFlight.delete(rental.name);
+          return this.pauseRequests();
         }
-        const machines = r.outcome === 'hired' ? r.machines : [];
-        const key = place(h.type, h.zone, h.spot);
-        if (machines.length < h.n) {
-          const pause = Math.min(30_000, (this.dry.get(key)?.pause ?? 4000) * 1.5);
-          this.dry.set(key, { until: (this.clock.steady() + pause) as SteadyMs, pause });
-        } else this.dry.delete(key);
-        this.logger.info({ hire: h.name, place: key, asked: h.n, got: machines.length }, 'rented');
+        const machines = result.outcome === 'hired' ? result.machines : [];
+        const key = placeKey(rental.type, rental.zone, rental.spot);
+        if (machines.length < rental.n) {
+          const backoffMs = Math.min(30_000, (this.backoffs.get(key)?.backoffMs ?? 4000) * 1.5);
+          this.backoffs.set(key, { until: (this.clock.steady() + backoffMs) as SteadyMs, backoffMs });
+        } else this.backoffs.delete(key);
+        this.logger.info({ hire: rental.name, place: key, asked: rental.n, got: machines.length }, 'rented');
         this.log.tell({
-          entries: [{ e: 'hired', name: h.name, m: machines }],
-          onSettled: () => this.renting.delete(h.name),
+          entries: [{ e: 'hired', name: rental.name, m: machines }],
+          onSettled: () => this.rentalsInFlight.delete(rental.name),
         });
       });
     }
   }
 
-  private giveBack(machines: Machine[]): void {
-    const due = machines.flatMap((m) => (this.returning.has(m.id) ? [] : [m.id])).slice(0, 100);
-    if (due.length === 0 || !this.spend()) return;
-    for (const id of due) this.returning.add(id);
+  private returnMachines(machines: Machine[]): void {
+    const due = machines
+      .flatMap((machine) => (this.returnsInFlight.has(machine.id) ? [] : [machine.id]))
+      .slice(0, 100);
+    if (due.length === 0 || !this.takeToken()) return;
+    for (const id of due) this.returnsInFlight.add(id);
     void this.cloud.returnMachines(due).then((ok) => {
       if (this.stopped) return;
       if (!ok) {
-        for (const id of due) this.returning.delete(id);
-        return this.trouble();
+        for (const id of due) this.returnsInFlight.delete(id);
+        return this.pauseRequests();
       }
       this.logger.debug({ machines: due }, 'returned');
-      // The answer is the sure fence: the machines and all that was on them are gone.
-      for (const m of chunked(due, 50))
+      // Only the cloud's answer proves that the machines, and all tasks on them, are gone.
+      for (const chunk of chunked(due, 50))
         this.log.tell({
-          entries: [{ e: 'gone', m }],
+          entries: [{ e: 'gone', m: chunk }],
           onSettled: () => {
-            for (const id of due) this.returning.delete(id);
+            for (const id of due) this.returnsInFlight.delete(id);
           },
         });
     });
   }
 
-  private async list(): Promise<void> {
-    this.listing = true;
+  private async listMachines(): Promise<void> {
+    this.isListing = true;
     this.listedAt = this.clock.steady();
     const all: ListedMachine[] = [];
     for (let after: string | null = null; ;) {
-      const p = await this.cloud.listMachines(after);
+      const page = await this.cloud.listMachines(after);
       if (this.stopped) return;
-      if (!p) {
-        this.listing = false;
-        return this.trouble();
+      if (!page) {
+        this.isListing = false;
+        return this.pauseRequests();
       }
-      all.push(...p.machines);
-      if (!p.more || p.machines.length === 0) break;
-      after = p.machines[p.machines.length - 1]!.id;
+      all.push(...page.machines);
+      if (!page.more || page.machines.length === 0) break;
+      after = page.machines[page.machines.length - 1]!.id;
     }
-    this.listing = false;
-    if (!this.certain()) return;
+    this.isListing = false;
+    if (!this.isCertain()) return;
     const failed: MachineId[] = [];
     const strays: MachineId[] = [];
     const now = this.clock.steady();
-    for (const l of all) {
-      const m = this.state.machines.get(l.id);
-      if (m) {
-        if (l.state === 'failed' && !m.drop) failed.push(l.id);
+    for (const listed of all) {
+      const machine = this.state.machines.get(listed.id);
+      if (machine) {
+        if (listed.state === 'failed' && !machine.drop) failed.push(listed.id);
         continue;
       }
-      // The list is late: a machine that was returned a moment ago still stands in it.
-      if (this.state.removedMachines.has(l.id)) continue;
+      // The list lags behind: it still contains machines that were returned recently.
+      if (this.state.removedMachines.has(listed.id)) continue;
       if (this.state.pendingRentals.size > 0) continue;
-      const since = this.strays.get(l.id) ?? now;
-      this.strays.set(l.id, since);
-      if (l.state === 'failed' || now - since > 20_000) strays.push(l.id);
+      const firstSeenAt = this.strayMachines.get(listed.id) ?? now;
+      this.strayMachines.set(listed.id, firstSeenAt);
+      if (listed.state === 'failed' || now - firstSeenAt > 20_000) strays.push(listed.id);
     }
     if (failed.length > 0)
       this.log.tell({ entries: [{ e: 'drop', m: failed.slice(0, 100), why: 'failed' }] });
     if (strays.length > 0) {
-      this.logger.info({ strays }, 'returning machines that nobody asked for');
-      if (this.spend() && (await this.cloud.returnMachines(strays.slice(0, 100))) && !this.stopped) {
+      this.logger.info({ strays }, 'returning machines that belong to no rental');
+      if (this.takeToken() && (await this.cloud.returnMachines(strays.slice(0, 100))) && !this.stopped) {
         this.log.tell({ entries: [{ e: 'gone', m: strays.slice(0, 100) }] });
-        for (const s of strays) this.strays.delete(s);
+        for (const id of strays) this.strayMachines.delete(id);
       }
     }
   }
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -1,4 +1,4 @@
-/** One node: follows the log, contends for the lock, leads while it holds it. */
+/** A controller node: follows the log, competes for the lock and leads the cluster while it holds it. */
 import { dumpState } from '../core/state-dump.js';
 import type { Command, Fence, NodeId, SteadyMs, Term, WorkerReport } from '../core/types.js';
 import type { Peers, PeerStatus } from '../io/peers.js';
@@ -11,233 +11,233 @@
 import type { RenewalStatistics } from './lease.js';
 import { Lock, lockLeaseDurationMs } from './lock.js';
 import { STATUS_MAX_AGE_MS } from './state-service-doubt.js';
-import { UncertainAnswers } from './uncertain-answers.js';
+import { UncertainAnswerPolicy } from './uncertain-answers.js';
 import { UserRequests } from './user-requests.js';
 import type { WorkerStatistics } from './workers.js';
 
-const WATCHDOG_MS = 700;
-const HAND_OVER_CHECK_MS = 250;
-/** A node that hears of no leader counts as ready for so long: each removal costs a longer pause. */
+const WATCHDOG_PERIOD_MS = 700;
+const HAND_OVER_CHECK_PERIOD_MS = 250;
+/** How long a node that hears no leader stays ready: each removal makes the balancer exclude it longer. */
 const LEADERLESS_READY_MS = 8000;
-/** Added to the lock's time: longer than a dead leader's lock lasts. */
-const APART_AFTER_MS = 700;
+/** Added to the lock duration: longer than the lock of a leader that has died lasts. */
+const ISOLATION_MARGIN_MS = 700;
 
+/** The answer to a worker's report: commands, or the leader that the worker should report to. */
 export type ReportOutcome =
   | { kind: 'commands'; term: Term; fence: Fence; commands: Command[] }
   | { kind: 'redirect'; leader: string | null };
 
-/** One node: follows the log, contends for the lock, leads while it holds it. */
 export class Controller {
   private readonly follower: Follower;
   private readonly lock: Lock;
-  private leading: LeaderActor | null = null;
+  private leaderActor: LeaderActor | null = null;
   private leader: LeaderValue | null = null;
-  /** The highest term of which this node knew a leader, and the highest seen at all. */
-  private ledTerm = 0;
-  private highest = 0;
+  /** The highest term with a known leader, and the highest term seen at all. */
+  private highestLeaderTerm = 0;
+  private highestTerm = 0;
   private peers: Peers | null = null;
-  private contending = false;
+  private isTakingOver = false;
   private readonly handOver: HandOver;
-  private readonly lockMs: number;
-  private readonly sight: LeaderTracker;
-  private readonly apartMs: number;
-  /** When this node last had a link to the leader, or knew of none. */
-  private linkedAt = -Infinity;
-  /** What this node saw of terms reaches back to here: all of it once the state service was read. */
-  private remembers: SteadyMs;
-  private readonly uncertainAnswers: UncertainAnswers;
-  /** What users ask, here and passed on by peers. */
+  private readonly lockDurationMs: number;
+  private readonly tracker: LeaderTracker;
+  /** How long the node still reports ready after it has lost contact. */
+  private readonly graceMs: number;
+  /** When this node last had a connection to the leader or knew of no other leader. */
+  private connectedAt = -Infinity;
+  /** Start of the period whose terms this node has observed; -Infinity once it has read the state service. */
+  private observesTermsSince: SteadyMs;
+  private readonly uncertainAnswers: UncertainAnswerPolicy;
+  /** Handles users' requests that arrive here or are forwarded by peers. */
   readonly requests: UserRequests;
 
   constructor(
-    private readonly ports: LeaderDependencies,
-    private readonly run: string,
+    private readonly dependencies: LeaderDependencies,
+    private readonly runId: string,
   ) {
-    const { clock, store, logger, measure, settings } = ports;
-    this.remembers = clock.steady();
-    this.sight = new LeaderTracker(clock);
+    const { clock, store, logger, measure, settings } = dependencies;
+    this.observesTermsSince = clock.steady();
+    this.tracker = new LeaderTracker(clock);
     const { machine_limits, workers } = settings.cluster;
-    this.lockMs = lockLeaseDurationMs(machine_limits.cpu_share, workers.lease_s);
-    this.apartMs = this.lockMs + APART_AFTER_MS;
+    this.lockDurationMs = lockLeaseDurationMs(machine_limits.cpu_share, workers.lease_s);
+    this.graceMs = this.lockDurationMs + ISOLATION_MARGIN_MS;
     this.lock = new Lock({
-      ...{ store, clock, logger, measure, leaseDurationMs: this.lockMs },
-      identity: { node: settings.node, term: 0, run },
+      ...{ store, clock, logger, measure, leaseDurationMs: this.lockDurationMs },
+      identity: { node: settings.node, term: 0, run: runId },
       onLost: (why) => this.stepDown(why),
     });
     this.handOver = new HandOver({
-      ...{ clock, logger, store, lock: this.lock, leaseDurationMs: this.lockMs },
+      ...{ clock, logger, store, lock: this.lock, leaseDurationMs: this.lockDurationMs },
       ...{ nodeId: settings.node as NodeId, peerCount: settings.seeds.length },
     });
     this.follower = new Follower(store, clock, logger, {
-      free: () => this.contend(),
+      free: () => this.tryToLead(),
       leader: (v) => {
         this.leader = v;
-        if (v) this.ledTerm = Math.max(this.ledTerm, v.term);
+        if (v) this.highestLeaderTerm = Math.max(this.highestLeaderTerm, v.term);
         logger.info({ leader: v?.node ?? null, term: v?.term, run: v?.run }, 'leader key read');
       },
       term: (t) => {
-        this.remembers = -Infinity as SteadyMs;
-        this.higher(t);
+        this.observesTermsSince = -Infinity as SteadyMs;
+        this.noteTerm(t);
       },
     });
-    this.uncertainAnswers = new UncertainAnswers(this.lock, clock, settings);
+    this.uncertainAnswers = new UncertainAnswerPolicy(this.lock, clock, settings);
     this.requests = new UserRequests({
       ...{ clock, follower: this.follower, lock: this.lock },
-      leading: () => this.leading,
-      otherLeader: () => this.otherLeader(),
+      localLeader: () => this.leaderActor,
+      remoteLeader: () => this.remoteLeader(),
       peers: () => this.peers,
     });
   }
 
   async start(peers: Peers): Promise<void> {
     this.peers = peers;
-    await this.endFormerLease();
+    await this.revokeFormerLease();
     void this.follower.run();
     this.watchdog();
     this.checkHandOver();
   }
 
   private checkHandOver(): void {
-    this.ports.clock.after(HAND_OVER_CHECK_MS, () => this.checkHandOver());
-    void this.handOver.check(this.leading, this.peers?.statuses() ?? []);
+    this.dependencies.clock.after(HAND_OVER_CHECK_PERIOD_MS, () => this.checkHandOver());
+    void this.handOver.check(this.leaderActor, this.peers?.statuses() ?? []);
   }
 
-  /** Looks again and again who leads, and whether this node should. */
+  /** Periodically checks who leads and whether this node should try to take the lock. */
   private watchdog(): void {
-    const { clock } = this.ports;
-    clock.after(WATCHDOG_MS, () => this.watchdog());
-    const leaderElsewhere = this.otherLeader();
-    if (!leaderElsewhere || this.peers?.isConnected(leaderElsewhere)) this.linkedAt = clock.steady();
+    const { clock } = this.dependencies;
+    clock.after(WATCHDOG_PERIOD_MS, () => this.watchdog());
+    const remoteLeader = this.remoteLeader();
+    if (!remoteLeader || this.peers?.isConnected(remoteLeader)) this.connectedAt = clock.steady();
     if (this.lock.held) return;
     this.claimReach();
-    // A leader that no longer tells its peers that it leads is looked for in the state service.
-    if (this.sight.isLeaderHeard() && !this.sight.isHolderInDoubt()) return;
-    this.lookForLeader();
+    // If the leader no longer tells its peers that it leads, look it up in the state service.
+    if (this.tracker.isLeaderHeard() && !this.tracker.isHolderInDoubt()) return;
+    this.checkLeader();
   }
 
-  private lookForLeader(): void {
-    void this.follower.checkLeader().then((free) => (free ? this.contend() : undefined));
+  private checkLeader(): void {
+    void this.follower.checkLeader().then((free) => (free ? this.tryToLead() : undefined));
   }
 
-  /** Tells a leader that can't be heard, and that the state service names, that workers ask here. */
+  /** Publishes for a leader that is named by the state service but not heard how many workers ask here. */
   private claimReach(): void {
-    const { clock } = this.ports;
+    const { clock } = this.dependencies;
     const isNamed = clock.steady() - this.follower.answeredInTimeAt < STATUS_MAX_AGE_MS;
-    const isUnheard = clock.steady() - this.linkedAt > STATUS_MAX_AGE_MS;
-    const workers = this.sight.countRequestingWorkers();
-    if (this.leader && this.otherLeader() && isNamed && isUnheard && workers > 0)
+    const isUnheard = clock.steady() - this.connectedAt > STATUS_MAX_AGE_MS;
+    const workers = this.tracker.countRequestingWorkers();
+    if (this.leader && this.remoteLeader() && isNamed && isUnheard && workers > 0)
       this.handOver.publishReachClaim(this.leader.term as Term, workers);
   }
 
-  /** A lock still held by an earlier run of this node holds nobody: that run is over. */
-  private async endFormerLease(): Promise<void> {
-    const { store, settings } = this.ports;
-    const k = await store.get(LEADER_KEY);
-    const v = k ? readLeaderValue(k.value) : null;
-    if (k && k.leaseId !== null && v?.node === settings.node && v.run !== this.run)
-      await store.revokeLease(k.leaseId);
+  /** Revokes the lease of a lock that an earlier run of this node still holds: that run has ended. */
+  private async revokeFormerLease(): Promise<void> {
+    const { store, settings } = this.dependencies;
+    const stored = await store.get(LEADER_KEY);
+    const holder = stored ? readLeaderValue(stored.value) : null;
+    if (stored && stored.leaseId !== null && holder?.node === settings.node && holder.run !== this.runId)
+      await store.revokeLease(stored.leaseId);
   }
 
-  /** Peers heard lately. */
-  private heard(withinMs: number): PeerStatus[] {
-    return (this.peers?.statuses() ?? []).filter((p) => p.ageMs < withinMs).map((p) => p.status);
+  private recentStatuses(withinMs: number): PeerStatus[] {
+    return (this.peers?.statuses() ?? []).filter((peer) => peer.ageMs < withinMs).map((p) => p.status);
   }
 
-  private async contend(): Promise<void> {
+  private async tryToLead(): Promise<void> {
     if (!this.handOver.mayAcquireLock()) return;
-    if (this.contending || this.lock.held) return;
-    this.contending = true;
+    if (this.isTakingOver || this.lock.held) return;
+    this.isTakingOver = true;
     try {
       await this.takeOver();
     } finally {
-      this.contending = false;
+      this.isTakingOver = false;
     }
   }
 
   private async takeOver(): Promise<void> {
-    const { clock, random, logger } = this.ports;
-    const from = clock.steady();
+    const { clock, random, logger } = this.dependencies;
+    const startedAt = clock.steady();
     await sleep(clock, random.intBelow(60));
     const held = await this.lock.tryAcquire();
     if (!held) {
-      logger.debug('the lock was not to be had');
+      logger.debug('lock not acquired');
       return;
     }
-    this.highest = Math.max(this.highest, held.term);
+    this.highestTerm = Math.max(this.highestTerm, held.term);
     this.uncertainAnswers.reset();
     this.follower.pause();
     for (;;) {
       if (!this.lock.held || this.lock.held.term !== held.term) return;
-      if (await this.follower.catchUp(this.lockMs)) break;
+      if (await this.follower.catchUp(this.lockDurationMs)) break;
       await sleep(clock, 100);
     }
     if (this.lock.held?.term !== held.term) return;
-    this.leader = { node: this.ports.settings.node, term: held.term, run: this.run };
-    this.ledTerm = held.term;
-    this.leading = new LeaderActor({
+    this.leader = { node: this.dependencies.settings.node, term: held.term, run: this.runId };
+    this.highestLeaderTerm = held.term;
+    this.leaderActor = new LeaderActor({
       ...{
-        dependencies: this.ports,
+        dependencies: this.dependencies,
         state: this.follower.state,
         lock: this.lock,
         held,
         head: this.follower.head,
       },
       onDeposed: (why) => this.lock.markLost(why),
-      onHigherTerm: (term) => this.higher(term),
-      mayAnswerUncertain: () => this.uncertainAnswers.areAllowed(),
+      onHigherTerm: (term) => this.noteTerm(term),
+      mayAnswerUncertain: () => this.uncertainAnswers.isAllowed(),
     });
-    this.ports.measure('take_over', clock.steady() - from);
-    const { term, version: stamp } = held;
-    logger.info({ term, run: this.run, revision: stamp, next: this.follower.state.nextRecord }, 'leading');
+    this.dependencies.measure('take_over', clock.steady() - startedAt);
+    const { term, version: revision } = held;
+    logger.info({ term, run: this.runId, revision, next: this.follower.state.nextRecord }, 'leading');
   }
 
   private stepDown(why: string): void {
-    const was = this.leading;
-    this.leading = null;
+    const formerLeader = this.leaderActor;
+    this.leaderActor = null;
     this.leader = null;
-    was?.stop();
-    this.ports.logger.info({ why }, 'following');
+    formerLeader?.stop();
+    this.dependencies.logger.info({ why }, 'following');
     this.follower.resume();
   }
 
-  /** A higher term was seen: somebody else leads. */
-  private higher(term: Term): void {
-    if (term <= this.highest) return;
-    this.highest = term;
+  /** Notes a term. If it is higher than that of the lock held here, another node leads: releases the lock. */
+  private noteTerm(term: Term): void {
+    if (term <= this.highestTerm) return;
+    this.highestTerm = term;
     if (this.lock.held && term > this.lock.held.term) this.lock.release(`term ${term} seen`);
   }
 
-  /** The number of the next record, as far as this node knows. */
+  /** The number of the next log record, as far as this node knows. */
   get nextRecord(): number {
     return this.follower.state.nextRecord;
   }
 
-  /** Figures of the calls to workers, while this node leads; empty otherwise. */
+  /** Statistics of the calls to workers and of lease renewals; empty without the lock. */
   leaderStatistics(): Partial<WorkerStatistics> & { renewals?: RenewalStatistics } {
     const renewals = this.lock.renewalStatistics();
-    return { ...this.leading?.workers.statistics(), ...(renewals ? { renewals } : {}) };
+    return { ...this.leaderActor?.workers.statistics(), ...(renewals ? { renewals } : {}) };
   }
 
-  /** What this node would fold now. */
+  /** The state as this node would write it into a snapshot now. */
   dump(): unknown {
     return dumpState(this.follower.state);
   }
 
   status(): PeerStatus {
-    const { clock, settings } = this.ports;
+    const { clock, settings } = this.dependencies;
     return {
       node: settings.node,
-      run: this.run,
-      term: this.highest,
-      leading: this.leading !== null && this.lock.isCertain(),
+      run: this.runId,
+      term: this.highestTerm,
+      leading: this.leaderActor !== null && this.lock.isCertain(),
       leader: this.leader?.node ?? '',
       leaderTerm: this.leader?.term ?? 0,
       takingOver: this.lock.isAcquiring,
-      remembersMs: Math.min(1e12, clock.steady() - this.remembers),
+      remembersMs: Math.min(1e12, clock.steady() - this.observesTermsSince),
       workers:
-        this.leading?.workers.intake.countHeard(WORKER_HEARD_MAX_AGE_MS) ??
-        this.sight.countRequestingWorkers(),
-      stateAge: this.leading
+        this.leaderActor?.workers.intake.countHeard(WORKER_HEARD_MAX_AGE_MS) ??
+        this.tracker.countRequestingWorkers(),
+      stateAge: this.leaderActor
         ? this.lock.uncertainForMs()
         : Math.min(1e9, clock.steady() - this.follower.lastAnswerAt),
       reachesState: clock.steady() - this.follower.answeredInTimeAt < STATUS_MAX_AGE_MS,
@@ -246,51 +246,55 @@
     };
   }
 
-  /** What a peer says of itself; asked: when the question was put that it answers. */
-  handlePeerStatus(s: PeerStatus, asked?: SteadyMs): void {
-    this.higher(s.term as Term);
-    // The state service may be out of reach when workers have to be told whom to go to.
-    if (s.leader && s.leaderTerm > this.ledTerm) {
-      this.ledTerm = s.leaderTerm;
-      this.leader = { node: s.leader, term: s.leaderTerm, run: '' };
+  /** Takes a peer's status; `askedAt` is when the question that it answers was sent, if it answers one. */
+  handlePeerStatus(status: PeerStatus, askedAt?: SteadyMs): void {
+    this.noteTerm(status.term as Term);
+    // Workers have to be redirected to the leader even if the state service cannot be reached.
+    if (status.leader && status.leaderTerm > this.highestLeaderTerm) {
+      this.highestLeaderTerm = status.leaderTerm;
+      this.leader = { node: status.leader, term: status.leaderTerm, run: '' };
     }
-    if (asked !== undefined) this.uncertainAnswers.vouch(s, asked);
-    const wasInDoubt = this.sight.isHolderInDoubt();
-    this.sight.noteStatus(s);
-    // The leader waits to hear whether the state service answers this node.
-    if (this.sight.isHolderInDoubt() && !wasInDoubt && !this.lock.held) this.lookForLeader();
+    if (askedAt !== undefined) this.uncertainAnswers.noteStatus(status, askedAt);
+    const wasInDoubt = this.tracker.isHolderInDoubt();
+    this.tracker.noteStatus(status);
+    // The leader in doubt waits to hear whether the state service answers this node.
+    if (this.tracker.isHolderInDoubt() && !wasInDoubt && !this.lock.held) this.checkLeader();
   }
 
-  /** Whether this node can take requests. Slow to say no: each removal costs a longer pause. */
+  /** Whether this node can take requests. Slow to say no: after each removal it is excluded for longer. */
   isReady(): boolean {
     if (!this.follower.loaded) return false;
-    const now = this.ports.clock.steady();
-    // A leader without state service and peers can do nothing for users; with peers it is an outage for all.
-    if (this.leading) return this.lock.uncertainForMs() < this.apartMs || this.heard(this.apartMs).length > 0;
-    // The state service names a leader that outlived its lease, and no link to it can be had.
-    if (now - this.linkedAt > this.apartMs && this.follower.lastAnswerAt - this.linkedAt > this.apartMs)
+    const now = this.dependencies.clock.steady();
+    // Without state service and peers a leader cannot serve users; with peers the outage concerns all nodes.
+    if (this.leaderActor)
+      return this.lock.uncertainForMs() < this.graceMs || this.recentStatuses(this.graceMs).length > 0;
+    // The state service names a leader after its lease would have expired, and it cannot be connected to.
+    if (now - this.connectedAt > this.graceMs && this.follower.lastAnswerAt - this.connectedAt > this.graceMs)
       return false;
-    return this.sight.isLeaderHeard(LEADERLESS_READY_MS);
+    return this.tracker.isLeaderHeard(LEADERLESS_READY_MS);
   }
 
-  handleReport(r: WorkerReport, reply: (h: ReportOutcome) => void): void {
-    const l = this.leading;
-    if (!l) {
-      this.sight.noteWorkerRequest(r.machine);
-      return reply({ kind: 'redirect', leader: this.otherLeader() });
+  /** Answers a worker's report: as the leader with commands, otherwise with a redirect. */
+  handleReport(report: WorkerReport, reply: (outcome: ReportOutcome) => void): void {
+    const leaderActor = this.leaderActor;
+    if (!leaderActor) {
+      this.tracker.noteWorkerRequest(report.machine);
+      return reply({ kind: 'redirect', leader: this.remoteLeader() });
     }
-    l.workers.tell({
+    leaderActor.workers.tell({
       kind: 'report',
-      report: r,
-      reply: (a) =>
+      report,
+      reply: (answer) =>
         reply(
-          a ? { kind: 'commands', term: l.term, ...a } : { kind: 'redirect', leader: this.otherLeader() },
+          answer
+            ? { kind: 'commands', term: leaderActor.term, ...answer }
+            : { kind: 'redirect', leader: this.remoteLeader() },
         ),
     });
   }
 
-  private otherLeader(): string | null {
+  private remoteLeader(): string | null {
     const node = this.leader?.node;
-    return node && node !== this.ports.settings.node ? node : null;
+    return node && node !== this.dependencies.settings.node ? node : null;
   }
 }
--- a/src/actors/direct-calls.ts
+++ b/src/actors/direct-calls.ts
@@ -1,6 +1,6 @@
 /**
- * Direct calls to workers: a bounded number open at once, each with a number of its own, its fate logged at
- * `debug` and counted. Machines for which no call was free are offered again as calls end.
+ * Direct calls to workers. The number of open calls is limited; each call has its own number, is logged at
+ * `debug` level and is counted. Machines for which no call could be opened are notified as open calls end.
  */
 import type { Command, Fence, MachineId, Session, Term } from '../core/types.js';
 import type { CallNumber } from '../core/unsettled-calls.js';
@@ -9,9 +9,10 @@
 import type { Logger } from '../io/logger.js';
 import { writeDirectCall } from '../wire/schemas.js';
 
-/** A call without an answer is given up after so long; it may still be carried out later. */
-export const DIRECT_CALL_MS = 2000;
+/** A call is given up after this time without an answer. The worker may still carry it out later. */
+export const DIRECT_CALL_TIMEOUT_MS = 2000;
 
+/** A direct call. Its fields appear in log lines as they stand. */
 export interface DirectCall {
   machine: MachineId;
   address: string;
@@ -25,59 +26,66 @@
   clock: Clock;
   logger: Logger;
   term: Term;
-  /** Calls open at once: every machine keeps a connection for its reports besides. */
-  mostOpen: number;
-  /** A call is free for a machine that waited for one. */
-  onFree: (machine: MachineId) => void;
+  /** Maximum number of open calls. Each machine also keeps a connection open for its reports. */
+  maxOpen: number;
+  /** Called when a call can be opened for a machine that waited for one. */
+  onCallAvailable: (machine: MachineId) => void;
 }
 
+/** Opens direct calls within a limit and queues machines above it. */
 export class DirectCalls {
   /** Counts since this node began to lead. */
   readonly totals = { sent: 0, answered: 0, givenUp: 0 };
-  private open = 0;
+  private openCount = 0;
   private stopped = false;
-  /** Machines that wait for a free call; those with stops of cancelled jobs are served first. */
-  private readonly urgent = new Set<MachineId>();
-  private readonly waiting = new Set<MachineId>();
+  /** Machines that wait until a call can be opened; those with stops of cancelled jobs come first. */
+  private readonly urgentMachines = new Set<MachineId>();
+  private readonly waitingMachines = new Set<MachineId>();
 
   constructor(private readonly options: DirectCallsOptions) {}
 
-  get openNow(): number {
-    return this.open;
+  get currentlyOpen(): number {
+    return this.openCount;
   }
 
-  get isFree(): boolean {
-    return this.open < this.options.mostOpen;
+  get hasCapacity(): boolean {
+    return this.openCount < this.options.maxOpen;
   }
 
-  /** `onFree` is told of the machine when a call is free. */
-  wait(machine: MachineId, isUrgent: boolean): void {
-    (isUrgent ? this.urgent : this.waiting).add(machine);
+  /** Queues a machine; `onCallAvailable` is called with it once a call can be opened. */
+  enqueue(machine: MachineId, isUrgent: boolean): void {
+    (isUrgent ? this.urgentMachines : this.waitingMachines).add(machine);
   }
 
-  /** What the machine waited to be told has travelled otherwise. */
-  waitNoMore(machine: MachineId): void {
-    this.urgent.delete(machine);
-    this.waiting.delete(machine);
+  /** Removes a machine from the queue, once its commands have been sent another way. */
+  dequeue(machine: MachineId): void {
+    this.urgentMachines.delete(machine);
+    this.waitingMachines.delete(machine);
   }
 
-  /** Sends a call; `then` gets its answer, or null when it was given up. Not called after `stop`. */
-  send(call: DirectCall, then: (answer: HttpResponse | null) => void): CallNumber {
+  /**
+   * Opens a call. `onResponse` gets the response, or null if the call was given up; it is not called after
+   * `stop`.
+   */
+  send(call: DirectCall, onResponse: (response: HttpResponse | null) => void): CallNumber {
     const { clock, logger, term } = this.options;
     const number = ++this.totals.sent as CallNumber;
     const sentAt = clock.steady();
-    this.open++;
+    this.openCount++;
     logger.debug({ call: number, ...call }, 'direct call sent');
     const body = writeDirectCall(term, call.fence, call.session, call.commands);
-    void this.options.call(call.address, 'POST', '/orders', body, DIRECT_CALL_MS).then((answer) => {
+    void this.options.call(call.address, 'POST', '/orders', body, DIRECT_CALL_TIMEOUT_MS).then((response) => {
       if (this.stopped) return;
-      this.open--;
-      this.totals[answer ? 'answered' : 'givenUp']++;
+      this.openCount--;
+      this.totals[response ? 'answered' : 'givenUp']++;
       const ms = Math.round(clock.steady() - sentAt);
       const { machine } = call;
-      logger.debug({ call: number, machine, status: answer?.status, ms }, answer ? 'answered' : 'given up');
-      then(answer);
-      this.offerFree();
+      logger.debug(
+        { call: number, machine, status: response?.status, ms },
+        response ? 'answered' : 'given up',
+      );
+      onResponse(response);
+      this.notifyWaiting();
     });
     return number;
   }
@@ -86,12 +94,13 @@
     this.stopped = true;
   }
 
-  private offerFree(): void {
-    for (const machines of [this.urgent, this.waiting])
+  /** Offers the calls that can be opened now to the machines in the queue. */
+  private notifyWaiting(): void {
+    for (const machines of [this.urgentMachines, this.waitingMachines])
       for (const machine of machines) {
-        if (!this.isFree) return;
+        if (!this.hasCapacity) return;
         machines.delete(machine);
-        this.options.onFree(machine);
+        this.options.onCallAvailable(machine);
       }
   }
 }
--- a/src/actors/first-reports.ts
+++ b/src/actors/first-reports.ts
@@ -1,59 +1,65 @@
 /**
- * Whether a new leader knows what runs: each live worker has reported under its term, or one report period has
- * passed. The same holds after a standstill of the node.
+ * Determines when a new leader knows which tasks run: once each available worker has reported under its term,
+ * or after one report period. The same applies after a stall of the process.
  */
 import { isAvailable, type Machine } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
 import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { StallMonitor } from './node-pace.js';
-import { REPORT_SPREAD } from './report-intake.js';
+import { REPORT_JITTER_FACTOR } from './report-intake.js';
 import type { WorkerView } from './worker-view.js';
 
-/** For the way of the last report, and its handling. */
-const REPORT_WAY_MS = 500;
+/** Time allowed for the last report to arrive and be processed. */
+const REPORT_DELIVERY_MS = 500;
 
+/** Waits for the first report of each worker after a take-over or a stall. */
 export class FirstReports {
-  /** The beginning of the wait that is over. */
-  private settledSince: SteadyMs | null = null;
-  /** The machine that was last found not to have reported: while it has not, no other is looked at. */
-  private awaited: MachineId | null = null;
+  /** Start of the period (take-over or end of a stall) for which the wait has completed. */
+  private completedPeriod: SteadyMs | null = null;
+  /**
+   * A machine that had not reported at the last check. While it still has not, no other machine is examined.
+   */
+  private awaitedMachine: MachineId | null = null;
 
   constructor(
     private readonly state: ClusterState,
     private readonly views: ReadonlyMap<MachineId, WorkerView>,
-    private readonly pace: StallMonitor,
+    private readonly stallMonitor: StallMonitor,
     private readonly clock: Clock,
     private readonly reportPeriodS: number,
   ) {}
 
-  areIn(): boolean {
-    const { observingSince: since } = this.pace;
-    if (this.settledSince === since) return true;
-    if (this.periodIsOver() || !this.awaitsReport()) this.settledSince = since;
-    return this.settledSince === since;
+  /** Whether the wait is over. */
+  areComplete(): boolean {
+    const { observingSince } = this.stallMonitor;
+    if (this.completedPeriod === observingSince) return true;
+    if (this.isPeriodOver() || !this.isAwaitingReport()) this.completedPeriod = observingSince;
+    return this.completedPeriod === observingSince;
   }
 
-  periodIsOver(): boolean {
-    const waited = this.clock.steady() - this.pace.observingSince;
-    return waited > this.reportPeriodS * 1000 * REPORT_SPREAD + REPORT_WAY_MS;
+  /** Whether one report period has passed since the take-over or stall. */
+  isPeriodOver(): boolean {
+    const waitedMs = this.clock.steady() - this.stallMonitor.observingSince;
+    return waitedMs > this.reportPeriodS * 1000 * REPORT_JITTER_FACTOR + REPORT_DELIVERY_MS;
   }
 
-  private awaitsReport(): boolean {
+  /** Whether an available worker has not reported yet. */
+  private isAwaitingReport(): boolean {
     const { machines } = this.state;
-    const last = this.awaited === null ? undefined : machines.get(this.awaited);
-    if (last && this.isUnreported(last)) return true;
-    this.awaited = null;
+    const last = this.awaitedMachine === null ? undefined : machines.get(this.awaitedMachine);
+    if (last && this.hasNotReported(last)) return true;
+    this.awaitedMachine = null;
     for (const machine of machines.values())
-      if (this.isUnreported(machine)) {
-        this.awaited = machine.id;
+      if (this.hasNotReported(machine)) {
+        this.awaitedMachine = machine.id;
         return true;
       }
     return false;
   }
 
-  private isUnreported(machine: Machine): boolean {
+  private hasNotReported(machine: Machine): boolean {
     const view = this.views.get(machine.id);
-    return isAvailable(machine) && !(view?.knowsTerm && view.heardAt >= this.pace.observingSince);
+    return isAvailable(machine) && !(view?.hasSeenTerm && view.heardAt >= this.stallMonitor.observingSince);
   }
 }
--- a/src/actors/introductions.ts
+++ b/src/actors/introductions.ts
@@ -1,32 +1,36 @@
 /**
- * Calls that tell workers of a new leader's term. A worker that a former leader still holds drops that one's
- * answers from then on. Whoever was not reached is called again, after ever longer pauses.
+ * Schedules the calls that tell workers about a new leader's term. From then on a worker drops the answers of
+ * the former leader. Workers that were not reached are called again, with exponential backoff.
  */
 import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import { DIRECT_CALL_MS } from './direct-calls.js';
+import { DIRECT_CALL_TIMEOUT_MS } from './direct-calls.js';
 
-const FIRST_PAUSE_MS = 2000;
-const LONGEST_PAUSE_MS = 15_000;
+const INITIAL_BACKOFF_MS = 2000;
+const MAX_BACKOFF_MS = 15_000;
 
-export class Introductions {
-  private readonly attempts = new Map<MachineId, { nextAt: SteadyMs; pauseMs: number }>();
+/** Schedules the announcements of one leader's term. */
+export class TermAnnouncements {
+  private readonly attempts = new Map<MachineId, { nextAt: SteadyMs; backoffMs: number }>();
 
   constructor(private readonly clock: Clock) {}
 
-  /** Whether a machine is to be called now; if so, the next call is planned. */
-  isDue(machine: MachineId): boolean {
+  /** Whether a machine should be called now. If so, schedules the next call to it. */
+  scheduleIfDue(machine: MachineId): boolean {
     const now = this.clock.steady();
-    const { nextAt, pauseMs } = this.attempts.get(machine) ?? { nextAt: now, pauseMs: FIRST_PAUSE_MS };
+    const { nextAt, backoffMs } = this.attempts.get(machine) ?? {
+      nextAt: now,
+      backoffMs: INITIAL_BACKOFF_MS,
+    };
     if (nextAt > now) return false;
     this.attempts.set(machine, {
-      nextAt: (now + DIRECT_CALL_MS + pauseMs) as SteadyMs,
-      pauseMs: Math.min(LONGEST_PAUSE_MS, pauseMs * 2),
+      nextAt: (now + DIRECT_CALL_TIMEOUT_MS + backoffMs) as SteadyMs,
+      backoffMs: Math.min(MAX_BACKOFF_MS, backoffMs * 2),
     });
     return true;
   }
 
-  /** Forgets machines that are gone. */
+  /** Removes machines that are no longer in the cluster. */
   keepOnly(machines: ReadonlyMap<MachineId, unknown>): void {
     for (const id of this.attempts.keys()) if (!machines.has(id)) this.attempts.delete(id);
   }
--- a/src/actors/round.ts
+++ b/src/actors/round.ts
@@ -1,6 +1,6 @@
 /**
- * One round of decisions: what is stopped, started, rented and returned, from committed state and what the workers
- * were heard to do. Decides only; the leader writes the entries.
+ * One scheduling round: decides which tasks to stop and start and which machines to rent and return, from
+ * committed state and the workers' reports. It only plans; the leader writes the entries.
  */
 import { planRentals, planReturns, type CapacityInput } from '../core/capacity.js';
 import { stopsForNotices, stopsForBrokenGangs } from '../core/orderly-stops.js';
@@ -17,20 +17,26 @@
 import type { CloudActor } from './cloud.js';
 import type { WorkersActor } from './workers.js';
 
-/** Machines that are sampled for a task before all are looked at. */
-const SAMPLE = 5;
-/** Starts of one round: about as many as the log writes until the next. */
-const MOST_STARTS = 2500;
-/** Guards the lowest class, and the largest jobs of any, against waiting for ever behind what is more urgent. */
-const STARVING_MS = 150_000;
-/** Of its estimate, the least that a job's run is expected to take. */
-const SHORTEST_RUN = 0.7;
-/** So many times its aim after its submission a job that was put off counts like any other again. */
-const PUT_OFF_AIMS = 3;
-/** Silent for longer than this, a machine counts as quiet. */
-const QUIET_S = 6;
-/** From so many machines on, more than half of them quiet means that the way to them may be cut. */
-const QUIET_LEAST_MACHINES = 3;
+/** Number of machines sampled for a task before all are examined. */
+const SAMPLE_SIZE = 5;
+/** Maximum starts in one round, about as many as the log writes before the next round. */
+const MAX_STARTS = 2500;
+/**
+ * A job that has waited this long is preferred, so that jobs of the lowest priority and the largest jobs of
+ * any priority do not starve behind more urgent ones.
+ */
+const STARVATION_MS = 150_000;
+/** The shortest expected run of a job, as a fraction of its estimate. */
+const MIN_RUN_FRACTION = 0.7;
+/** A job that was postponed counts as any other again once its age reaches this multiple of its objective. */
+const MAX_POSTPONEMENT_FACTOR = 3;
+/** A machine without a report for longer than this counts as silent. */
+const SILENT_AFTER_S = 6;
+/**
+ * From this number of machines on, silence of more than half of them indicates that the network to them may
+ * be cut.
+ */
+const MIN_MACHINES_FOR_SILENCE = 3;
 
 export interface RoundPlannerOptions {
   state: ClusterState;
@@ -41,66 +47,69 @@
   policy: Policy;
   random: Random;
   nextRentalName: () => string;
-  /** Whether a cancelled task is still there though stops had time enough. */
-  isOverdue: (live: TaskAttempt) => boolean;
+  /** Whether a cancelled task is still running although its stops have had enough time. */
+  isOverdue: (attempt: TaskAttempt) => boolean;
 }
 
+/** The result of a round: log entries to write, and figures for the status log. */
 export interface RoundPlan {
   entries: LogEntry[];
   starts: number;
   usable: number;
-  /** What found no room on any machine. */
+  /** Tasks that did not fit on any machine. */
   unplaced: PlacementResult['unplaced'];
-  /** What found none even where tasks are being stopped. */
+  /** Tasks that do not fit even where other tasks are being stopped. */
   unplacedAfterPreemption: PlacementResult['unplaced'];
 }
 
-const neverStarted = (job: Job): boolean => job.fresh === 0 && job.live.size === 0 && job.gangTry === 1;
+const hasNeverStarted = (job: Job): boolean => job.fresh === 0 && job.live.size === 0 && job.gangTry === 1;
 
+/** Plans the rounds of one leader. */
 export class RoundPlanner {
   private readonly teams: readonly Team[];
-  /** Seconds within which jobs of a class are to be finished. */
-  private readonly finishWithin = new Map<string, number>();
-  /** The same by the tightest aim; 0 where the start is what counts. */
-  private readonly tightestAim = new Map<string, number>();
-  /** Machines that wait for a gang since the last round. */
+  /** Seconds within which jobs of a class should finish. */
+  private readonly finishObjectiveS = new Map<string, number>();
+  /** The same by the tightest objective of the class; 0 if the objective is for the start. */
+  private readonly tightestObjectiveS = new Map<string, number>();
+  /** Machines that the last round reserved for gangs. */
   private reserved: ReadonlySet<Machine> = new Set();
 
   constructor(private readonly options: RoundPlannerOptions) {
     this.teams = teamsOf(options.settings);
-    for (const { kind, class: name, within_s: within } of options.settings.cluster.objectives) {
-      if (!name || !within) continue;
-      if (kind === 'finished') this.finishWithin.set(name, within);
-      const tightest = Math.min(within, this.tightestAim.get(name) ?? Infinity);
-      this.tightestAim.set(name, kind === 'wait' ? 0 : tightest);
+    for (const { kind, class: className, within_s: withinS } of options.settings.cluster.objectives) {
+      if (!className || !withinS) continue;
+      if (kind === 'finished') this.finishObjectiveS.set(className, withinS);
+      const tightest = Math.min(withinS, this.tightestObjectiveS.get(className) ?? Infinity);
+      this.tightestObjectiveS.set(className, kind === 'wait' ? 0 : tightest);
     }
   }
 
+  /** Plans one round. */
   plan(now: WallMs): RoundPlan {
     const { state, workers } = this.options;
     const usable = [...state.machines.values()].filter((machine) => workers.intake.canTakeWork(machine));
     const stops = stopsForNotices(state, (machine) => workers.intake.noticeOf(machine) !== null);
-    const order = orderClaims(
+    const claims = orderClaims(
       state,
       this.teams,
       (job) => this.isTooLate(job, now),
-      (job) => now - job.at > STARVING_MS && neverStarted(job),
+      (job) => now - job.at > STARVATION_MS && hasNeverStarted(job),
     );
     const broken = stopsForBrokenGangs(
-      order.map((claim) => claim.job),
-      (live) => workers.progress.waitsForGang(live),
+      claims.map((claim) => claim.job),
+      (attempt) => workers.progress.isWaitingForGang(attempt),
     );
-    const placed = this.place(order, usable, now);
-    const preempted = this.preempt(order, usable, placed);
-    const capacity = this.capacity(usable, placed, preempted.unplaced, now);
+    const placed = this.placeTasks(claims, usable, now);
+    const preempted = this.preemptTasks(claims, usable, placed);
+    const input = this.capacityInput(usable, placed, preempted.unplaced, now);
     return {
       entries: [
         ...stops,
         ...broken,
         ...placed.entries,
         ...preempted.entries,
-        ...planRentals(capacity),
-        ...planReturns(capacity),
+        ...planRentals(input),
+        ...planReturns(input),
       ],
       starts: placed.starts,
       usable: usable.length,
@@ -109,44 +118,53 @@
     };
   }
 
-  /** Whether a job can't be finished within its aim any more; not for ever, so that it isn't put off for good. */
+  /**
+   * Whether a job can no longer finish within its objective. False again after a multiple of the objective,
+   * so that the job is not postponed for ever.
+   */
   private isTooLate(job: Job, now: WallMs): boolean {
-    const within = this.finishWithin.get(job.spec.class);
-    const age = (now - job.at) / 1000;
+    const objectiveS = this.finishObjectiveS.get(job.spec.class);
+    const ageS = (now - job.at) / 1000;
     return (
-      within !== undefined && age + job.spec.estimate * SHORTEST_RUN > within && age < within * PUT_OFF_AIMS
+      objectiveS !== undefined &&
+      ageS + job.spec.estimate * MIN_RUN_FRACTION > objectiveS &&
+      ageS < objectiveS * MAX_POSTPONEMENT_FACTOR
     );
   }
 
-  /** Seconds since a task was first shown running; null before that. */
-  private secondsRun(live: TaskAttempt): number | null {
-    const startedAt = this.options.workers.progress.runningSince(live);
-    return startedAt === null ? null : (this.options.clock.steady() - startedAt) / 1000;
+  /** Seconds since an attempt was first reported as running; null if it is not running. */
+  private secondsRun(attempt: TaskAttempt): number | null {
+    const runningSince = this.options.workers.progress.runningSince(attempt);
+    return runningSince === null ? null : (this.options.clock.steady() - runningSince) / 1000;
   }
 
-  private place(order: ReturnType<typeof orderClaims>, usable: Machine[], now: WallMs): PlacementResult {
+  private placeTasks(
+    claims: ReturnType<typeof orderClaims>,
+    usable: Machine[],
+    now: WallMs,
+  ): PlacementResult {
     const { cloud, random, state, workers } = this.options;
     const placed = place({
-      ...{ claims: order, state, teams: this.teams, now, random, usable },
-      sampleSize: SAMPLE,
-      completionObjectiveS: (name) => this.tightestAim.get(name) ?? 0,
-      isFetching: (live) => workers.progress.fetches(live),
+      ...{ claims, state, teams: this.teams, now, random, usable },
+      sampleSize: SAMPLE_SIZE,
+      completionObjectiveS: (name) => this.tightestObjectiveS.get(name) ?? 0,
+      isFetching: (attempt) => workers.progress.isFetching(attempt),
       reserved: this.reserved,
-      canRent: (type, zone, spot) => !cloud.backoff(type, zone, spot),
-      maxStarts: MOST_STARTS,
+      canRent: (type, zone, spot) => !cloud.isBackedOff(type, zone, spot),
+      maxStarts: MAX_STARTS,
     });
     this.reserved = placed.reserved;
     return placed;
   }
 
-  private preempt(
-    order: ReturnType<typeof orderClaims>,
+  private preemptTasks(
+    claims: ReturnType<typeof orderClaims>,
     usable: Machine[],
     { unplaced, freeResources, releasingResources }: PlacementResult,
   ): PreemptionResult {
     return preempt({
       ...{
-        claims: order,
+        claims,
         state: this.options.state,
         teams: this.teams,
         usable,
@@ -154,12 +172,12 @@
         freeResources,
         releasingResources,
       },
-      secondsRun: (live) => this.secondsRun(live),
+      secondsRun: (attempt) => this.secondsRun(attempt),
       minRank: priorityRank.high,
     });
   }
 
-  private capacity(
+  private capacityInput(
     usable: Machine[],
     { retained, freeResources }: PlacementResult,
     unplaced: PlacementResult['unplaced'],
@@ -169,24 +187,27 @@
     return {
       ...{ state, now, unplaced, usable, freeResources, retained, policy },
       zones: settings.cluster.zones,
-      isBackedOff: (type, zone, spot) => cloud.backoff(type, zone, spot),
+      isBackedOff: (type, zone, spot) => cloud.isBackedOff(type, zone, spot),
       nextRentalName,
-      secondsRemaining: (live) => {
-        const run = this.secondsRun(live);
-        return run === null || live.stop ? Infinity : live.job.spec.estimate - run;
+      secondsRemaining: (attempt) => {
+        const run = this.secondsRun(attempt);
+        return run === null || attempt.stop ? Infinity : attempt.job.spec.estimate - run;
       },
       secondsSilent: (machine) => workers.intake.secondsSilent(machine),
-      mostAreSilent: this.mostAreQuiet(),
+      mostAreSilent: this.areMostSilent(),
       isOverdue,
-      completionObjectiveS: (name) => this.tightestAim.get(name) ?? 0,
+      completionObjectiveS: (name) => this.tightestObjectiveS.get(name) ?? 0,
       leaseS: settings.cluster.workers.lease_s,
     };
   }
 
-  private mostAreQuiet(): boolean {
+  /** Whether most machines are silent, so that the cause may be the network. */
+  private areMostSilent(): boolean {
     const { state, workers } = this.options;
-    const up = [...state.machines.values()].filter(isAvailable);
-    const quiet = up.filter((machine) => workers.intake.secondsSilent(machine) > QUIET_S).length;
-    return up.length >= QUIET_LEAST_MACHINES && quiet * 2 > up.length;
+    const available = [...state.machines.values()].filter(isAvailable);
+    const silent = available.filter(
+      (machine) => workers.intake.secondsSilent(machine) > SILENT_AFTER_S,
+    ).length;
+    return available.length >= MIN_MACHINES_FOR_SILENCE && silent * 2 > available.length;
   }
 }
--- a/src/actors/task-progress.ts
+++ b/src/actors/task-progress.ts
@@ -1,12 +1,13 @@
-/** What workers last showed each task doing, as this leader heard it. */
+/** The progress of each attempt, as workers last reported it to this leader. */
 import type { Job, TaskAttempt } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
 import type { SteadyMs, TaskState, WorkerReport } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 
+/** Tracks the reported state of each attempt. */
 export class TaskProgress {
-  private readonly reported = new WeakMap<TaskAttempt, TaskState>();
-  /** When a task was first shown running, while it is. */
+  private readonly reportedStates = new WeakMap<TaskAttempt, TaskState>();
+  /** When an attempt was first reported as running; absent while it is not running. */
   private readonly runningSinceByAttempt = new WeakMap<TaskAttempt, SteadyMs>();
 
   constructor(
@@ -14,42 +15,42 @@
     private readonly clock: Clock,
   ) {}
 
-  /** Notes what a report shows of tasks that the log has on that machine. */
-  note(report: WorkerReport): void {
+  /** Takes the task states of a report, for the attempts that the log has on that machine. */
+  update(report: WorkerReport): void {
     for (const task of report.tasks) {
-      const live = this.state.jobs.get(task.job)?.live.get(task.task);
-      if (!live || live.attempt !== task.attempt || live.machine.id !== report.machine) continue;
-      this.reported.set(live, task.state);
-      if (task.state !== 'running' && task.state !== 'saving') this.runningSinceByAttempt.delete(live);
-      else if (!this.runningSinceByAttempt.has(live))
-        this.runningSinceByAttempt.set(live, this.clock.steady());
+      const attempt = this.state.jobs.get(task.job)?.live.get(task.task);
+      if (!attempt || attempt.attempt !== task.attempt || attempt.machine.id !== report.machine) continue;
+      this.reportedStates.set(attempt, task.state);
+      if (task.state !== 'running' && task.state !== 'saving') this.runningSinceByAttempt.delete(attempt);
+      else if (!this.runningSinceByAttempt.has(attempt))
+        this.runningSinceByAttempt.set(attempt, this.clock.steady());
     }
   }
 
-  /** When a task was first shown running; null while it is not. */
-  runningSince(live: TaskAttempt): SteadyMs | null {
-    return this.runningSinceByAttempt.get(live) ?? null;
+  /** When an attempt was first reported as running; null if it is not running. */
+  runningSince(attempt: TaskAttempt): SteadyMs | null {
+    return this.runningSinceByAttempt.get(attempt) ?? null;
   }
 
-  /** How many tasks of a job run. */
-  running(job: Job): number {
+  /** Number of running tasks of a job. */
+  countRunning(job: Job): number {
     let count = 0;
-    for (const live of job.live.values()) if (this.runningSinceByAttempt.has(live)) count++;
+    for (const attempt of job.live.values()) if (this.runningSinceByAttempt.has(attempt)) count++;
     return count;
   }
 
-  /** Whether a task only waits for the rest of its gang. */
-  waitsForGang(live: TaskAttempt): boolean {
-    return this.reported.get(live) === 'waiting';
+  /** Whether an attempt waits only for the rest of its gang. */
+  isWaitingForGang(attempt: TaskAttempt): boolean {
+    return this.reportedStates.get(attempt) === 'waiting';
   }
 
-  /** Whether a task still waits for its image, as far as is known here. */
-  fetches(live: TaskAttempt): boolean {
-    return (this.reported.get(live) ?? 'fetching') === 'fetching';
+  /** Whether an attempt still waits for its image, as far as this leader knows. */
+  isFetching(attempt: TaskAttempt): boolean {
+    return (this.reportedStates.get(attempt) ?? 'fetching') === 'fetching';
   }
 
-  /** Whether the worker has shown this attempt to be known to it. */
-  wasReported(live: TaskAttempt): boolean {
-    return this.reported.has(live);
+  /** Whether the worker has reported this attempt. */
+  wasReported(attempt: TaskAttempt): boolean {
+    return this.reportedStates.has(attempt);
   }
 }
--- a/src/actors/token-bucket.ts
+++ b/src/actors/token-bucket.ts
@@ -1,8 +1,8 @@
-/** Limits the rate of requests to a service. */
+/** A token bucket that limits the rate of requests to a service. */
 import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 
-/** Allows `perSecond` requests a second, and a burst of those that were not used before. */
+/** Allows `perSecond` requests per second and bursts of up to `burst` requests. */
 export class TokenBucket {
   private tokens: number;
   private refilledAt: SteadyMs;
@@ -16,7 +16,7 @@
     this.refilledAt = clock.steady();
   }
 
-  /** Tokens that may be taken now; below zero after more were taken than there were. */
+  /** Number of tokens available now; negative if more were taken than were available. */
   get available(): number {
     const now = this.clock.steady();
     const refill = ((now - this.refilledAt) / 1000) * this.perSecond;
@@ -29,7 +29,7 @@
     this.tokens = this.available - count;
   }
 
-  /** Milliseconds until a token is there; zero or less when there is one. */
+  /** Milliseconds until a token is available; zero or less if one is available now. */
   get waitMs(): number {
     return ((1 - this.available) / this.perSecond) * 1000;
   }
--- a/src/actors/uncertain-answers.ts
+++ b/src/actors/uncertain-answers.ts
@@ -1,6 +1,6 @@
 /**
- * How long a node whose lock is not certain may go on answering reports. Each answer renews a worker's lease, and
- * with it the tasks of jobs that another leader may have confirmed as cancelled.
+ * Decides how long a node whose lock is not certain may continue to answer reports. Each answer renews a
+ * worker's lease, and so also prolongs tasks of jobs whose cancellation another leader may have confirmed.
  */
 import type { SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
@@ -9,12 +9,16 @@
 import { MAX_CLOCK_DRIFT } from './lease.js';
 import type { Lock } from './lock.js';
 
-/** Workers end their tasks this soon after their lease. */
-const TASKS_END_MS = 1000;
+/** Workers end their tasks within this time after their lease expires. */
+const TASK_END_DELAY_MS = 1000;
 
-export class UncertainAnswers {
-  /** When each other node was asked the question to which it answered that it has not led since. */
-  private readonly vouchedAt = new Map<string, SteadyMs>();
+/** Decides whether reports may be answered while the lock is not certain. */
+export class UncertainAnswerPolicy {
+  /**
+   * For each peer, the time up to which it is known not to have led: when the question that it answered was
+   * sent.
+   */
+  private readonly notLedUntil = new Map<string, SteadyMs>();
 
   constructor(
     private readonly lock: Lock,
@@ -22,34 +26,38 @@
     private readonly settings: Settings,
   ) {}
 
-  /** A take-over begins: what others said before counts no more. */
+  /** Discards the peers' earlier answers at the beginning of a take-over. */
   reset(): void {
-    this.vouchedAt.clear();
+    this.notLedUntil.clear();
   }
 
-  /** A peer answered a question put at that time: it has not led since `noOtherLedUntil`, and is not about to. */
-  vouch(status: PeerStatus, askedAt: SteadyMs): void {
+  /**
+   * Takes a peer's answer to a question that was sent at `askedAt`. If it shows that the peer has not led
+   * since `noOtherLeaderUntil` and is not about to, notes that the peer has not led up to `askedAt`.
+   */
+  noteStatus(status: PeerStatus, askedAt: SteadyMs): void {
     if (status.term > (this.lock.held?.term ?? 0) || status.takingOver) return;
-    // A node that came up later knows nothing of what its former run did.
-    const remembersFrom = this.clock.steady() - status.remembersMs * (1 - MAX_CLOCK_DRIFT);
-    if (remembersFrom > this.noOtherLedUntil()) return;
-    this.vouchedAt.set(status.node, askedAt);
+    // A node that started later does not know what its former run did.
+    const observesSince = this.clock.steady() - status.remembersMs * (1 - MAX_CLOCK_DRIFT);
+    if (observesSince > this.noOtherLeaderUntil()) return;
+    this.notLedUntil.set(status.node, askedAt);
   }
 
   /**
-   * Guards ran_cancelled: whether reports may be answered without a certain lock. A cancellation that another
-   * leader confirmed, and that this node does not know of, is later than `noOtherLedUntil`; its tasks end with the
-   * lease that is not renewed, so no lease may last longer than what a cancellation has from then on.
+   * Whether reports may be answered while the lock is not certain. Upholds ran_cancelled: a cancellation that
+   * another leader confirmed without this node's knowledge is later than `noOtherLeaderUntil`, and its tasks
+   * end with the lease that is not renewed. So no lease may last longer than the time a cancellation may take
+   * from then on.
    */
-  areAllowed(): boolean {
+  isAllowed(): boolean {
     const { lease_s, cancel_s } = this.settings.cluster.workers;
-    const longestMs = lease_s * 1000 + cancel_s * 1000 * MAX_CLOCK_DRIFT + TASKS_END_MS;
-    return this.clock.steady() + longestMs < this.noOtherLedUntil() + cancel_s * 1000;
+    const longestMs = lease_s * 1000 + cancel_s * 1000 * MAX_CLOCK_DRIFT + TASK_END_DELAY_MS;
+    return this.clock.steady() + longestMs < this.noOtherLeaderUntil() + cancel_s * 1000;
   }
 
-  /** The latest moment at which, as far as is known here, no other node can have led. */
-  private noOtherLedUntil(): number {
-    const others = this.settings.seeds.map((seed) => this.vouchedAt.get(seed.node) ?? -Infinity);
+  /** The latest time up to which, as far as this node knows, no other node can have led. */
+  private noOtherLeaderUntil(): number {
+    const others = this.settings.seeds.map((seed) => this.notLedUntil.get(seed.node) ?? -Infinity);
     return Math.max(this.lock.certainUntil, Math.min(Infinity, ...others));
   }
 }
--- a/src/actors/user-requests.ts
+++ b/src/actors/user-requests.ts
@@ -1,15 +1,15 @@
 /**
- * Users' requests at any node: answered by the leader here, from the log where it decides, or by the leader
- * elsewhere, which is asked over the link between controllers.
+ * Routes users' requests on any node: to the leader on this node, to this node's copy of the log where that
+ * is enough, or over the link between controllers to the leader on another node.
  */
 import type { JobId, JobSpec } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { PeerResponse, PeerRequest, Peers } from '../io/peers.js';
 import {
-  finalAnswer,
+  outcomeReply,
   retryLater,
   jobNotFound,
-  SETTLE_MS,
+  PENDING_WRITE_TIMEOUT_MS,
   jobStatusReply,
   type Reply,
   type UserRequest,
@@ -19,15 +19,18 @@
 import type { Lock } from './lock.js';
 import { SingleFlight } from './single-flight.js';
 
-/** Questions to the leader of how far its log is keep this distance; so long its log may take to come here. */
-const POSITIONS_APART_MS = 50;
-const REACH_MS = 600;
+/**
+ * Minimum interval between queries for the leader's log position, and the time limit for the local log to
+ * reach it.
+ */
+const POSITION_QUERY_INTERVAL_MS = 50;
+const CATCH_UP_TIMEOUT_MS = 600;
 
-/** What a user asks of a job. */
-export interface UserAsk {
+/** A user's request about one job. */
+export interface JobRequest {
   kind: UserRequest['kind'];
   job: JobId;
-  /** The job; only for submissions. */
+  /** The job description; for submissions only. */
   spec?: JobSpec;
 }
 
@@ -36,52 +39,60 @@
   follower: Follower;
   lock: Lock;
   /** The leader on this node; null while it follows. */
-  leading: () => LeaderActor | null;
+  localLeader: () => LeaderActor | null;
   /** The node that leads elsewhere, as far as is known. */
-  otherLeader: () => string | null;
+  remoteLeader: () => string | null;
   peers: () => Peers | null;
 }
 
+/** Routes users' requests to wherever they can be answered. */
 export class UserRequests {
-  private readonly positions: SingleFlight<number | null>;
+  private readonly leaderPositions: SingleFlight<number | null>;
 
   constructor(private readonly options: UserRequestsOptions) {
-    this.positions = new SingleFlight(options.clock, POSITIONS_APART_MS, () => this.leaderPosition());
+    this.leaderPositions = new SingleFlight(options.clock, POSITION_QUERY_INTERVAL_MS, () =>
+      this.queryLeaderPosition(),
+    );
   }
 
-  async answer(ask: UserAsk): Promise<Reply> {
+  /** Answers a request of a user of this node. */
+  async answer(request: JobRequest): Promise<Reply> {
     const { follower } = this.options;
-    const here = this.askHere(ask);
-    if (here) return here;
-    const final = finalAnswer(follower.state, ask.job);
-    if (final) return final;
-    const byReadIndex = ask.kind === 'show' ? await this.readIndex(ask.job) : null;
-    if (byReadIndex) return byReadIndex;
-    const answer = await this.askLeader({
-      kind: ask.kind,
-      job: ask.job,
-      spec: ask.spec ? JSON.stringify(ask.spec) : undefined,
+    const local = this.askLocalLeader(request);
+    if (local) return local;
+    const outcome = outcomeReply(follower.state, request.job);
+    if (outcome) return outcome;
+    const atReadIndex = request.kind === 'show' ? await this.readIndex(request.job) : null;
+    if (atReadIndex) return atReadIndex;
+    const response = await this.askRemoteLeader({
+      kind: request.kind,
+      job: request.job,
+      spec: request.spec ? JSON.stringify(request.spec) : undefined,
     });
-    if (answer && answer.status !== 503) return replyOf(answer, answer.retryAfter || undefined);
-    const fromLog = await this.readFromLog(ask);
+    if (response && response.status !== 503) return toReply(response, response.retryAfter || undefined);
+    const fromLog = await this.readFromLog(request);
     if (fromLog) return fromLog;
-    if (answer) return replyOf(answer, answer.retryAfter || 1);
-    return retryLater(this.options.otherLeader() ? 'the leader does not answer' : 'no leader known');
+    if (response) return toReply(response, response.retryAfter || 1);
+    return retryLater(this.options.remoteLeader() ? 'the leader does not answer' : 'no leader known');
   }
 
-  /** A peer passes on what its user asked. */
-  async answerPeer(ask: PeerRequest): Promise<PeerResponse> {
-    if (ask.kind === 'position') return this.answerPosition();
-    const spec = ask.spec ? (JSON.parse(ask.spec) as JobSpec) : undefined;
+  /** Answers a request that a peer forwards. */
+  async answerPeer(request: PeerRequest): Promise<PeerResponse> {
+    if (request.kind === 'position') return this.answerPosition();
+    const spec = request.spec ? (JSON.parse(request.spec) as JobSpec) : undefined;
     const reply =
-      (await this.askHere({ kind: ask.kind, job: ask.job as JobId, spec })) ?? retryLater('not leading');
+      (await this.askLocalLeader({ kind: request.kind, job: request.job as JobId, spec })) ??
+      retryLater('not leading');
     return { status: reply.status, body: JSON.stringify(reply.body), retryAfter: reply.retryAfter ?? 0 };
   }
 
-  /** The number of the next record. Guards older answers: only a leader that holds its lock knows it. */
+  /**
+   * Answers with the number of the next record. Upholds that no reply is older than an earlier one: only a
+   * leader that certainly holds its lock knows this number.
+   */
   private async answerPosition(): Promise<PeerResponse> {
-    const { follower, leading, lock } = this.options;
-    const ok = (await leading()?.log.whenSettled(SETTLE_MS)) === true && lock.isCertain();
+    const { follower, localLeader, lock } = this.options;
+    const ok = (await localLeader()?.log.whenSettled(PENDING_WRITE_TIMEOUT_MS)) === true && lock.isCertain();
     return {
       status: ok ? 200 : 503,
       body: JSON.stringify({ next: follower.state.nextRecord }),
@@ -89,8 +100,8 @@
     };
   }
 
-  private askHere({ kind, job, spec }: UserAsk): Promise<Reply> | null {
-    const leader = this.options.leading();
+  private askLocalLeader({ kind, job, spec }: JobRequest): Promise<Reply> | null {
+    const leader = this.options.localLeader();
     if (!leader) return null;
     return new Promise((reply) => {
       if (kind === 'submit') leader.admission.tell({ kind, spec: spec!, reply });
@@ -98,34 +109,36 @@
     });
   }
 
-  private async askLeader(ask: PeerRequest): Promise<PeerResponse | null> {
-    const to = this.options.otherLeader();
+  private async askRemoteLeader(request: PeerRequest): Promise<PeerResponse | null> {
+    const leader = this.options.remoteLeader();
     const peers = this.options.peers();
-    return to && peers ? peers.ask(to, ask) : null;
+    return leader && peers ? peers.ask(leader, request) : null;
   }
 
   /**
-   * What the leader would say of a job, from this node's log: it is asked how far its log is, once for all
-   * questions that wait, so that a flood of them costs it little. Null: it must be asked itself.
+   * The reply that the leader would give, from this node's log once it has reached the leader's position (the
+   * read index of Raft). One position query serves all requests that wait, so that many of them cost the
+   * leader little. Null if the leader has to be asked itself.
    */
   private async readIndex(job: JobId): Promise<Reply | null> {
-    if (!this.options.otherLeader()) return null;
+    if (!this.options.remoteLeader()) return null;
     const { follower } = this.options;
-    const next = await this.positions.get();
-    if (next === null || !(await follower.waitForRecord(next, REACH_MS))) return null;
+    const next = await this.leaderPositions.get();
+    if (next === null || !(await follower.waitForRecord(next, CATCH_UP_TIMEOUT_MS))) return null;
     return jobStatusReply(follower.state, job, (known) => known.live.size) ?? jobNotFound;
   }
 
-  private async leaderPosition(): Promise<number | null> {
-    const answer = await this.askLeader({ kind: 'position', job: '' });
-    return answer?.status === 200 ? (JSON.parse(answer.body) as { next: number }).next : null;
+  private async queryLeaderPosition(): Promise<number | null> {
+    const response = await this.askRemoteLeader({ kind: 'position', job: '' });
+    return response?.status === 200 ? (JSON.parse(response.body) as { next: number }).next : null;
   }
 
   /**
-   * Guards forgotten and older answers while no leader is reached: the log, read on to this moment,
-   * says what any leader would. What needs a record is refused.
+   * The reply from the log, read up to the present, while no leader is reached; null for requests that need a
+   * record, or if the log cannot be read on. Upholds forgotten, and that no reply is older than an earlier one:
+   * any leader would derive the same reply from the log.
    */
-  private async readFromLog({ kind, job }: UserAsk): Promise<Reply | null> {
+  private async readFromLog({ kind, job }: JobRequest): Promise<Reply | null> {
     const { follower } = this.options;
     const isKnown = kind === 'submit' && follower.state.jobs.has(job);
     if ((kind !== 'show' && !isKnown) || !(await follower.readLatest())) return null;
@@ -133,6 +146,6 @@
   }
 }
 
-const replyOf = ({ status, body }: PeerResponse, retryAfter: number | undefined): Reply => ({
+const toReply = ({ status, body }: PeerResponse, retryAfter: number | undefined): Reply => ({
   ...{ status, body: JSON.parse(body) as object, retryAfter },
 });
--- a/src/actors/worker-view.ts
+++ b/src/actors/worker-view.ts
@@ -3,39 +3,44 @@
 import type { Fence, SteadyMs, WorkerReport } from '../core/types.js';
 import { UnsettledCalls } from '../core/unsettled-calls.js';
 
+/** The view of one worker; a new session gets a new view. */
 export interface WorkerView extends ObservedWorker {
-  /** When it was last heard. */
+  /** When the worker was last heard. */
   heardAt: SteadyMs;
-  /** What this worker is sent from now on goes under this fence: all under lower ones is void. */
+  /** The fence for everything sent to this worker from now on. Calls under lower fences are invalid. */
   fence: Fence;
-  /** This worker has seen our term, so nothing of an earlier one reaches it any more. */
-  knowsTerm: boolean;
-  /** The machine's count of changes when its last report called for nothing; null: it may call for something. */
-  quietAt: number | null;
+  /** Whether this worker has seen this leader's term and therefore refuses everything from earlier terms. */
+  hasSeenTerm: boolean;
+  /**
+   * The machine's change count when its last report needed no commands; null if the next report may need
+   * some.
+   */
+  settledAtChange: number | null;
 }
 
 const NEVER = -Infinity as SteadyMs;
 
 /**
- * The view of a worker's new session. Calls to an earlier session carry its number, so the worker refuses them:
- * none of them is kept. The fence goes on, since the worker keeps the highest token that it has seen.
+ * The view of a worker's new session. Calls to an earlier session carry that session's number and are refused
+ * by the worker, so none are kept. The fence is kept, since the worker remembers the highest fencing token
+ * that it has seen.
  */
-export const viewOfSession = (report: WorkerReport, former: WorkerView | undefined): WorkerView => ({
+export const newSessionView = (report: WorkerReport, previous: WorkerView | undefined): WorkerView => ({
   report,
-  heardAt: former?.heardAt ?? NEVER,
-  fence: former?.fence ?? (0 as Fence),
-  knowsTerm: false,
-  quietAt: null,
+  heardAt: previous?.heardAt ?? NEVER,
+  fence: previous?.fence ?? (0 as Fence),
+  hasSeenTerm: false,
+  settledAtChange: null,
   unsettledCalls: new UnsettledCalls(),
   startedInAnswer: new Map(),
 });
 
-/** Whether a report says nothing newer than the last one of its worker. */
-export const isOlder = (report: WorkerReport, last: WorkerReport): boolean =>
+/** Whether a report contains nothing newer than its worker's last report. */
+export const isOutdated = (report: WorkerReport, last: WorkerReport): boolean =>
   report.session < last.session || (report.session === last.session && report.seq <= last.seq);
 
-/** Whether a report says what the one before said, and is newer. */
-export const repeats = (report: WorkerReport, last: WorkerReport): boolean =>
+/** Whether a report is newer than the last one and otherwise the same. */
+export const repeatsReport = (report: WorkerReport, last: WorkerReport): boolean =>
   report.tasks === last.tasks &&
   report.seq > last.seq &&
   report.session === last.session &&
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -1,6 +1,7 @@
 /**
- * Hears the workers of one leader, and tells them what the log says. Commands follow from committed state and a
- * worker's own last report; they travel in the answer to its next report, and in a direct call before that.
+ * Takes the reports of one leader's workers and sends them commands. Commands follow from committed state and
+ * the worker's own last report. They are sent in the answer to its next report and, to save time, in a direct
+ * call before that.
  */
 import { attemptKey, commandsForWorker, hasCancelledTasks, stopsForCancelledJobs } from '../core/recovery.js';
 import { isAvailable, type Job, type TaskAttempt, type Machine } from '../core/model.js';
@@ -14,7 +15,7 @@
 import { Actor } from './actor.js';
 import { DirectCalls } from './direct-calls.js';
 import { FirstReports } from './first-reports.js';
-import { Introductions } from './introductions.js';
+import { TermAnnouncements } from './introductions.js';
 import type { LogActor } from './log.js';
 import { StallMonitor } from './node-pace.js';
 import { PendingFacts } from './pending-facts.js';
@@ -22,18 +23,18 @@
 import { TaskProgress } from './task-progress.js';
 import type { WorkerView } from './worker-view.js';
 
-/** What a report is answered with: commands, and the fence that they go under. */
+/** Commands, and the fence that they are sent under. */
 export interface FencedCommands {
   fence: Fence;
   commands: Command[];
 }
 
 export type WorkerMessage =
-  /** `reply` gets null when this node may not answer: the worker is to go elsewhere. */
+  /** `reply` gets null if this node may not answer; the worker is then redirected. */
   | { kind: 'report'; report: WorkerReport; reply: (answer: FencedCommands | null) => void }
-  /** A record was written: its commands may leave. */
+  /** A record was written, so the commands that follow from it may be sent to these machines. */
   | { kind: 'commandsDue'; machines: Iterable<MachineId> }
-  /** A cancellation is on its way into a record (or no more): no start of the job leaves meanwhile. */
+  /** A cancellation is being written (`isUnderWay`), or no more: meanwhile no start of the job is sent. */
   | { kind: 'cancelling'; job: JobId; isUnderWay: boolean }
   | { kind: 'tick' };
 
@@ -44,21 +45,21 @@
   clock: Clock;
   logger: Logger;
   term: Term;
-  /** Seconds between two reports of a worker, as the settings have it. */
+  /** Seconds between two reports of a worker, from the settings. */
   reportPeriodS: number;
-  /** Direct calls open at once. */
+  /** Maximum number of direct calls that are open at the same time. */
   maxOpenCalls: number;
   /** Whether the lock is certain to be held. */
   isCertain: () => boolean;
-  /** Whether reports may be answered without a certain lock. */
+  /** Whether reports may be answered while the lock is not certain. */
   mayAnswerUncertain: () => boolean;
-  /** A fact of a report was written. */
+  /** Called when facts from a report have been written to the log. */
   onFactWritten: () => void;
-  /** A worker has seen a higher term than ours. */
+  /** Called when a worker has seen a higher term than this leader's. */
   onHigherTerm: (term: Term) => void;
 }
 
-/** Figures for operators, counted since this node began to lead. */
+/** Statistics for operators, counted since this node began to lead. */
 export interface WorkerStatistics {
   directCalls: { sent: number; answered: number; givenUp: number; open: number };
   /** Calls with starts that may still be carried out: open ones, and given up ones that are not yet void. */
@@ -66,30 +67,31 @@
   fencesRaised: number;
 }
 
-/** Unsettled calls with starts to one worker; past it starts travel in the answers to its reports only. */
-const MOST_UNSETTLED_CALLS = 16;
-const startsOf = (orders: readonly Command[]): AttemptKey[] =>
-  orders.filter((order) => order.op === 'start').map((o) => attemptKey(o.job, o.task, o.attempt));
+/** Above this many unsettled calls to a worker, starts are sent only in the answers to its reports. */
+const MAX_UNSETTLED_CALLS = 16;
+const startedAttempts = (commands: readonly Command[]): AttemptKey[] =>
+  commands.filter((c) => c.op === 'start').map((c) => attemptKey(c.job, c.task, c.attempt));
 
-/** Only the answer to a report forgets, since a direct call may be carried out late. */
-const mayGoDirectly = (order: Command, view: WorkerView): boolean =>
-  order.op === 'stop' || (order.op === 'start' && view.unsettledCalls.size < MOST_UNSETTLED_CALLS);
+/** Only answers to reports carry `forget`, since a direct call may be carried out late. */
+const maySendDirectly = (command: Command, view: WorkerView): boolean =>
+  command.op === 'stop' || (command.op === 'start' && view.unsettledCalls.size < MAX_UNSETTLED_CALLS);
 
+/** Communicates with the workers of one leader during one term. */
 export class WorkersActor extends Actor<WorkerMessage> {
   readonly progress: TaskProgress;
   private readonly state: ClusterState;
-  /** What was heard of each worker. */
+  /** What is known of each worker from its reports. */
   readonly intake: ReportIntake;
-  private readonly pace: StallMonitor;
+  private readonly stallMonitor: StallMonitor;
   private readonly firstReports: FirstReports;
-  private readonly facts: PendingFacts;
-  private readonly calls: DirectCalls;
-  private readonly introductions: Introductions;
-  /** Machines to which a call with commands is open, and those that have more to be told after it. */
-  private readonly inCall = new Set<MachineId>();
-  private readonly callAgain = new Set<MachineId>();
+  private readonly pendingFacts: PendingFacts;
+  private readonly directCalls: DirectCalls;
+  private readonly termAnnouncements: TermAnnouncements;
+  /** Machines with an open call that carries commands, and those to be called again after it. */
+  private readonly machinesInCall = new Set<MachineId>();
+  private readonly machinesToCallAgain = new Set<MachineId>();
   /** Jobs whose cancellation is being written. */
-  private readonly cancelling = new Set<JobId>();
+  private readonly jobsBeingCancelled = new Set<JobId>();
   private fencesRaised = 0;
 
   constructor(private readonly options: WorkersOptions) {
@@ -97,121 +99,123 @@
     const { state, log, clock, logger, term } = options;
     this.state = state;
     this.progress = new TaskProgress(state, clock);
-    this.pace = new StallMonitor(clock, logger);
-    this.facts = new PendingFacts(state, log, options.onFactWritten);
-    const { pace, progress, facts } = this;
-    this.intake = new ReportIntake({ ...options, pace, progress, facts });
-    this.firstReports = new FirstReports(state, this.intake.views, pace, clock, options.reportPeriodS);
-    this.introductions = new Introductions(clock);
-    this.calls = new DirectCalls({
-      ...{ call: options.call, clock, logger, term, mostOpen: options.maxOpenCalls },
-      onFree: (machine) => this.callWithCommands(machine),
+    this.stallMonitor = new StallMonitor(clock, logger);
+    this.pendingFacts = new PendingFacts(state, log, options.onFactWritten);
+    const { stallMonitor: monitor, progress, pendingFacts } = this;
+    this.intake = new ReportIntake({ ...options, stallMonitor: monitor, progress, pendingFacts });
+    this.firstReports = new FirstReports(state, this.intake.views, monitor, clock, options.reportPeriodS);
+    this.termAnnouncements = new TermAnnouncements(clock);
+    this.directCalls = new DirectCalls({
+      ...{ call: options.call, clock, logger, term, maxOpen: options.maxOpenCalls },
+      onCallAvailable: (machine) => this.sendCommandsDirectly(machine),
     });
   }
 
-  /** Every live worker has reported to us, or one report period has passed. */
+  /** Whether each available worker has reported to this leader, or one report period has passed. */
   isReconciled(): boolean {
-    return this.firstReports.areIn();
+    return this.firstReports.areComplete();
   }
 
-  /** Whether a task's end was shown, though it may not be in a record yet. */
-  hasReportedEnd(live: TaskAttempt): boolean {
-    return this.facts.hasEnd(live);
+  /** Whether the end of an attempt was reported, even if it is not in a record yet. */
+  hasReportedEnd(attempt: TaskAttempt): boolean {
+    return this.pendingFacts.hasPendingEnd(attempt);
   }
 
-  /** How many tasks of a job run. */
+  /** Number of running tasks of a job. */
   countRunningTasks(job: Job): number {
-    return this.progress.running(job);
+    return this.progress.countRunning(job);
   }
 
-  /** Whether more is to be done here than the processor does in time. */
+  /** Whether this node has more work than its processor can handle in time. */
   isBehind(): boolean {
-    return this.pace.isBehind();
+    return this.stallMonitor.isBehind();
   }
 
   statistics(): WorkerStatistics {
     return {
-      directCalls: { ...this.calls.totals, open: this.calls.openNow },
+      directCalls: { ...this.directCalls.totals, open: this.directCalls.currentlyOpen },
       unsettledCalls: this.intake.countUnsettledCalls(),
       fencesRaised: this.fencesRaised,
     };
   }
 
   protected receive(message: WorkerMessage): void {
-    this.pace.noteActivity();
+    this.stallMonitor.noteActivity();
     if (message.kind === 'report') message.reply(this.answerReport(message.report));
-    else if (message.kind === 'commandsDue') for (const id of message.machines) this.callWithCommands(id);
+    else if (message.kind === 'commandsDue') for (const id of message.machines) this.sendCommandsDirectly(id);
     else if (message.kind === 'tick') this.tick();
-    else if (message.isUnderWay) this.cancelling.add(message.job);
-    else this.cancelling.delete(message.job);
+    else if (message.isUnderWay) this.jobsBeingCancelled.add(message.job);
+    else this.jobsBeingCancelled.delete(message.job);
   }
 
   override stop(): void {
     super.stop();
-    this.calls.stop();
+    this.directCalls.stop();
   }
 
   private answerReport(report: WorkerReport): FencedCommands | null {
     const isCertain = this.options.isCertain();
-    const quiet = isCertain ? this.intake.unchanged(report) : null;
-    if (quiet) {
-      this.intake.repeated(quiet, report);
-      return { fence: quiet.fence, commands: [] };
+    const unchanged = isCertain ? this.intake.unchangedView(report) : null;
+    if (unchanged) {
+      this.intake.noteRepeated(unchanged, report);
+      return { fence: unchanged.fence, commands: [] };
     }
     const view = this.intake.take(report, true);
     if (!view) return null;
     if (!isCertain && !this.options.mayAnswerUncertain()) return null;
     const machine = this.state.machines.get(report.machine);
-    // Guards ran_cancelled: whatever renews a lease carries the stops of cancelled jobs.
+    // Upholds ran_cancelled: every answer that renews a lease carries the stops of cancelled jobs.
     if (!isCertain || view.report !== report)
       return {
         fence: view.fence,
         commands: machine ? stopsForCancelledJobs(this.state, machine, view.report) : [],
       };
-    const orders = this.commandsFor(view);
-    this.calls.waitNoMore(report.machine);
-    for (const key of startsOf(orders)) view.startedInAnswer.set(key, report.seq);
-    view.quietAt = machine && this.callsForNothing(view, orders) ? machine.changes : null;
-    if (orders.length > 0) this.logAnswer(view, orders);
-    return { fence: view.fence, commands: orders };
+    const commands = this.commandsFor(view);
+    this.directCalls.dequeue(report.machine);
+    for (const key of startedAttempts(commands)) view.startedInAnswer.set(key, report.seq);
+    view.settledAtChange = machine && this.needsNoCommands(view, commands) ? machine.changes : null;
+    if (commands.length > 0) this.logAnswer(view, commands);
+    return { fence: view.fence, commands };
   }
 
-  /** Whether a worker's next report needs no look as long as it repeats the last and nothing changes. */
-  private callsForNothing(view: WorkerView, orders: readonly Command[]): boolean {
+  /** Whether the next report needs no commands, as long as it repeats this one and nothing changes. */
+  private needsNoCommands(view: WorkerView, commands: readonly Command[]): boolean {
     const isSettled = view.unsettledCalls.size === 0 && view.startedInAnswer.size === 0;
-    const fenceIsShown = view.fence <= view.report.fence;
-    return orders.length === 0 && isSettled && fenceIsShown && view.knowsTerm && this.isReconciled();
+    const isFenceReported = view.fence <= view.report.fence;
+    return commands.length === 0 && isSettled && isFenceReported && view.hasSeenTerm && this.isReconciled();
   }
 
-  private logAnswer(view: WorkerView, orders: Command[]): void {
+  private logAnswer(view: WorkerView, commands: Command[]): void {
     const { machine, session, seq } = view.report;
     const unsettled = view.unsettledCalls.size;
     this.options.logger.debug(
-      { machine, session, seq, fence: view.fence, unsettled, orders },
+      { machine, session, seq, fence: view.fence, unsettled, orders: commands },
       'report answered',
     );
   }
 
+  /** The commands that a worker is due. May raise its fence and record starts that were not delivered. */
   private commandsFor(view: WorkerView): Command[] {
-    const {
-      commands: orders,
-      undeliveredStarts: unsent,
-      fenceToExceed: above,
-    } = commandsForWorker(this.state, view, this.isReconciled());
-    if (above !== null) this.raiseFence(view, above);
-    if (unsent.length > 0 && view.knowsTerm) this.facts.tellNeverStarted(unsent);
-    if (this.cancelling.size === 0) return orders;
-    return orders.filter((order) => order.op !== 'start' || !this.cancelling.has(order.job));
+    const { commands, undeliveredStarts, fenceToExceed } = commandsForWorker(
+      this.state,
+      view,
+      this.isReconciled(),
+    );
+    if (fenceToExceed !== null) this.raiseFence(view, fenceToExceed);
+    if (undeliveredStarts.length > 0 && view.hasSeenTerm)
+      this.pendingFacts.submitNeverStarted(undeliveredStarts);
+    if (this.jobsBeingCancelled.size === 0) return commands;
+    return commands.filter((command) => command.op !== 'start' || !this.jobsBeingCancelled.has(command.job));
   }
 
   /**
-   * Guards ran_twice and ran_cancelled: a call that got no answer may be carried out much later. What is sent
-   * from now on goes under a higher fence, so the worker refuses the late call once it has heard anything
-   * newer, and its next report settles the call.
+   * Raises the worker's fence above `fenceToExceed`. Upholds ran_twice and ran_cancelled: a call without an
+   * answer may be carried out much later. Everything sent from now on carries a higher fence, so the worker
+   * refuses the late call as soon as it has received anything newer, and its next report settles the call.
    */
-  private raiseFence(view: WorkerView, above: Fence): void {
-    if (above < view.fence) return;
-    view.fence = (above + 1) as Fence;
+  private raiseFence(view: WorkerView, fenceToExceed: Fence): void {
+    if (fenceToExceed < view.fence) return;
+    view.fence = (fenceToExceed + 1) as Fence;
     this.fencesRaised++;
     const { machine } = view.report;
     this.options.logger.debug(
@@ -220,76 +224,76 @@
     );
   }
 
-  /** Calls a worker directly if it is due commands that may leave now. */
-  private callWithCommands(id: MachineId): void {
+  /** Sends a worker the commands that may be sent now in a direct call, if there are any. */
+  private sendCommandsDirectly(id: MachineId): void {
     const machine = this.state.machines.get(id);
     if (!machine?.addr || this.stopped) return;
-    if (this.inCall.has(id)) return void this.callAgain.add(id);
+    if (this.machinesInCall.has(id)) return void this.machinesToCallAgain.add(id);
     const view = this.intake.views.get(id);
     const isUrgent = hasCancelledTasks(machine);
-    const mayTellAll = this.options.isCertain() && !machine.drop && view !== undefined;
-    if (!mayTellAll && !isUrgent) return;
-    // The answer to the machine's next report carries the same at a fraction of the cost.
-    if (!isUrgent && this.pace.isBehind()) return;
-    // Bounded however many machines a record touches: what is over it waits for a free call, or for
-    // the worker's next report.
-    if (!this.calls.isFree) return this.calls.wait(id, isUrgent);
-    const orders = mayTellAll ? this.commandsFor(view).filter((order) => mayGoDirectly(order, view)) : [];
-    if (isUrgent && orders.length === 0) {
+    const maySendAll = this.options.isCertain() && !machine.drop && view !== undefined;
+    if (!maySendAll && !isUrgent) return;
+    // The answer to the machine's next report carries the same commands at a fraction of the cost.
+    if (!isUrgent && this.stallMonitor.isBehind()) return;
+    // The number of calls is limited, however many machines a record concerns. The others wait until a call
+    // can be opened or their worker sends its next report.
+    if (!this.directCalls.hasCapacity) return this.directCalls.enqueue(id, isUrgent);
+    const commands = maySendAll ? this.commandsFor(view).filter((c) => maySendDirectly(c, view)) : [];
+    if (isUrgent && commands.length === 0) {
       const report = view?.report.session === machine.session ? view.report : null;
-      orders.push(...stopsForCancelledJobs(this.state, machine, report));
+      commands.push(...stopsForCancelledJobs(this.state, machine, report));
     }
-    const hasFenceToShow = view?.knowsTerm && view.fence > view.report.fence;
-    if (orders.length > 0 || hasFenceToShow) this.sendCommands(machine, view, orders);
+    const hasNewFence = view?.hasSeenTerm && view.fence > view.report.fence;
+    if (commands.length > 0 || hasNewFence) this.sendCall(machine, view, commands);
   }
 
-  private sendCommands(machine: Machine, view: WorkerView | undefined, orders: Command[]): void {
-    const attempts = new Set(startsOf(orders));
+  private sendCall(machine: Machine, view: WorkerView | undefined, commands: Command[]): void {
+    const attempts = new Set(startedAttempts(commands));
     const fence = view?.fence ?? (0 as Fence);
     const session = view?.report.session ?? machine.session;
-    this.inCall.add(machine.id);
-    const call = { machine: machine.id, address: machine.addr, session, fence, commands: orders };
-    const number = this.calls.send(call, (answer) => {
-      // Guards against a worker that is never called again, whatever became of its session meanwhile.
-      this.inCall.delete(machine.id);
-      if (this.takeAnswer(machine, answer)) view?.unsettledCalls.answered(number);
+    this.machinesInCall.add(machine.id);
+    const call = { machine: machine.id, address: machine.addr, session, fence, commands };
+    const number = this.directCalls.send(call, (response) => {
+      // Removed whatever became of the session; otherwise the worker would never be called again.
+      this.machinesInCall.delete(machine.id);
+      if (this.takeResponse(machine, response)) view?.unsettledCalls.answered(number);
       else if (view && attempts.size > 0) this.raiseFence(view, fence);
-      if (this.callAgain.delete(machine.id)) this.callWithCommands(machine.id);
+      if (this.machinesToCallAgain.delete(machine.id)) this.sendCommandsDirectly(machine.id);
     });
     if (attempts.size > 0) view?.unsettledCalls.sent({ number, fence, attempts });
   }
 
-  /** Takes the report that answers a direct call; false when the call may not have been dealt with. */
-  private takeAnswer(machine: Machine, answer: HttpResponse | null): boolean {
-    const wasDealtWith = answer?.status === 200 || answer?.status === 409;
-    const report = wasDealtWith ? readReport(answer.body) : null;
+  /** Takes the report in the response to a direct call; false if the worker may not have handled the call. */
+  private takeResponse(machine: Machine, response: HttpResponse | null): boolean {
+    const wasHandled = response?.status === 200 || response?.status === 409;
+    const report = wasHandled ? readReport(response.body) : null;
     if (report?.machine !== machine.id) return false;
     this.intake.take(report, false);
     return true;
   }
 
   private tick(): void {
-    this.pace.tick();
-    this.introductions.keepOnly(this.state.machines);
-    this.intake.forgetGone();
-    // Guards ran_cancelled: stops of cancelled jobs go out again until a report shows the end, certain
-    // lock or not. They carry the term, so a former leader's answers hold the task no longer.
+    this.stallMonitor.tick();
+    this.termAnnouncements.keepOnly(this.state.machines);
+    this.intake.removeGoneMachines();
+    // Upholds ran_cancelled: stops of cancelled jobs are repeated until a report shows the end, whether the
+    // lock is certain or not. They carry the term, so the worker no longer accepts a former leader's answers.
     for (const machine of this.state.machines.values())
-      if (hasCancelledTasks(machine)) this.callWithCommands(machine.id);
-    // Most come by themselves within a report's time, when a new leader has the most to do.
-    if (this.firstReports.periodIsOver()) this.introduce();
+      if (hasCancelledTasks(machine)) this.sendCommandsDirectly(machine.id);
+    // Most workers report by themselves within a report period, when a new leader is busiest.
+    if (this.firstReports.isPeriodOver()) this.announceTerm();
   }
 
-  /** Workers still held by a former leader learn of the new term, and drop that one's answers. */
-  private introduce(): void {
+  /** Announces the term to workers that have not seen it, so that they drop a former leader's answers. */
+  private announceTerm(): void {
     for (const machine of this.state.machines.values()) {
-      if (!this.calls.isFree || this.pace.isBehind()) return;
+      if (!this.directCalls.hasCapacity || this.stallMonitor.isBehind()) return;
       const { id, addr: address, session } = machine;
       const view = this.intake.views.get(id);
-      if (!isAvailable(machine) || !address || view?.knowsTerm || this.inCall.has(id)) continue;
-      if (!this.introductions.isDue(id)) continue;
+      if (!isAvailable(machine) || !address || view?.hasSeenTerm || this.machinesInCall.has(id)) continue;
+      if (!this.termAnnouncements.scheduleIfDue(id)) continue;
       const call = { machine: id, address, session, fence: view?.fence ?? (0 as Fence), commands: [] };
-      this.calls.send(call, (answer) => void this.takeAnswer(machine, answer));
+      this.directCalls.send(call, (response) => void this.takeResponse(machine, response));
     }
   }
 }
