--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -71,14 +71,14 @@
     });
     this.follower = new Follower(store, clock, logger, {
       free: () => this.tryToLead(),
-      leader: (v) => {
-        this.leader = v;
-        if (v) this.highestLeaderTerm = Math.max(this.highestLeaderTerm, v.term);
-        logger.info({ leader: v?.node ?? null, term: v?.term, run: v?.run }, 'leader key read');
+      leader: (value) => {
+        this.leader = value;
+        if (value) this.highestLeaderTerm = Math.max(this.highestLeaderTerm, value.term);
+        logger.info({ leader: value?.node ?? null, term: value?.term, run: value?.run }, 'leader key read');
       },
-      term: (t) => {
+      term: (term) => {
         this.observesTermsSince = -Infinity as SteadyMs;
-        this.noteTerm(t);
+        this.noteTerm(term);
       },
     });
     this.uncertainAnswers = new UncertainAnswerPolicy(this.lock, clock, settings);
--- a/src/actors/round.ts
+++ b/src/actors/round.ts
@@ -22,8 +22,8 @@
 /** Maximum starts in one round, about as many as the log writes before the next round. */
 const MAX_STARTS = 2500;
 /**
- * A job that has waited this long is preferred, so that jobs of the lowest priority and the largest jobs of
- * any priority do not starve behind more urgent ones.
+ * A job without any start after this time is preferred, so that jobs of the lowest priority and the largest
+ * jobs of any priority do not starve behind more urgent ones.
  */
 const STARVATION_MS = 150_000;
 /** The shortest expected run of a job, as a fraction of its estimate. */
