--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -1,3 +1,4 @@
+/** Client of the cloud's HTTP interface: machine types, rentals, returns and the list of rented machines. */
 import type { MachineId, MachineType } from '../core/types.js';
 import type { HttpCall } from '../io/http-client.js';
 import {
@@ -11,11 +12,14 @@
 
 export type RentalResult =
   | { outcome: 'hired'; machines: MachineId[] }
+  /** The cloud has no capacity for this type and zone. */
   | { outcome: 'none' }
+  /** The cloud rejected the request as invalid. */
   | { outcome: 'bad' }
+  /** No usable answer: the rental may have taken place, and can be repeated under the same name. */
   | { outcome: 'trouble' };
 
-/** The cloud's interface, as the actors use it. */
+/** Each method returns null, false or 'trouble' if the cloud gave no usable answer in time. */
 export class CloudClient {
   constructor(
     private readonly call: HttpCall,
@@ -23,41 +27,52 @@
   ) {}
 
   async listMachineTypes(): Promise<MachineType[] | null> {
-    const a = await this.call(this.address, 'GET', '/flavors', undefined, 3000);
+    const response = await this.call(this.address, 'GET', '/flavors', undefined, 3000);
     try {
-      return a?.status === 200 ? readMachineTypes(a.body) : null;
+      return response?.status === 200 ? readMachineTypes(response.body) : null;
     } catch {
       return null;
     }
   }
 
-  async rentMachines(h: {
+  /** Rents up to `n` machines; a repeat under the same name rents none in addition. */
+  async rentMachines(rental: {
     name: string;
     type: string;
     zone: string;
     spot: boolean;
     n: number;
   }): Promise<RentalResult> {
-    const a = await this.call(this.address, 'POST', '/hosts', writeRentalRequest(h), 4000);
-    if (a?.status === 200) {
+    const response = await this.call(this.address, 'POST', '/hosts', writeRentalRequest(rental), 4000);
+    if (response?.status === 200) {
       try {
-        return { outcome: 'hired', machines: readRentedMachines(a.body) };
+        return { outcome: 'hired', machines: readRentedMachines(response.body) };
       } catch {
         return { outcome: 'trouble' };
       }
     }
-    if (a?.status === 503 && (a.body as { error?: string } | undefined)?.error === 'no capacity')
+    if (
+      response?.status === 503 &&
+      (response.body as { error?: string } | undefined)?.error === 'no capacity'
+    )
       return { outcome: 'none' };
-    return a?.status === 400 ? { outcome: 'bad' } : { outcome: 'trouble' };
+    return response?.status === 400 ? { outcome: 'bad' } : { outcome: 'trouble' };
   }
 
-  async returnMachines(m: readonly MachineId[]): Promise<boolean> {
-    const a = await this.call(this.address, 'POST', '/hosts/return', writeReturnRequest(m), 4000);
-    return a?.status === 200;
+  async returnMachines(machines: readonly MachineId[]): Promise<boolean> {
+    const response = await this.call(
+      this.address,
+      'POST',
+      '/hosts/return',
+      writeReturnRequest(machines),
+      4000,
+    );
+    return response?.status === 200;
   }
 
+  /** One page of the rented machines, those after the given one in order. */
   async listMachines(after: string | null): Promise<{ machines: ListedMachine[]; more: boolean } | null> {
-    const a = await this.call(
+    const response = await this.call(
       this.address,
       'GET',
       `/hosts?${after === null ? '' : `after=${encodeURIComponent(after)}&`}most=500`,
@@ -65,7 +80,7 @@
       3000,
     );
     try {
-      return a?.status === 200 ? readMachineList(a.body) : null;
+      return response?.status === 200 ? readMachineList(response.body) : null;
     } catch {
       return null;
     }
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -1,4 +1,4 @@
-/** The keys of the state service, and the values that are not records. */
+/** Keys of the state service, and the values stored under them other than log records. */
 import * as z from 'zod';
 import type { RecordNumber, Term } from '../core/types.js';
 
@@ -7,55 +7,61 @@
 export const TERM_KEY = 'q/term';
 export const SNAPSHOT_HEAD_KEY = 'q/head';
 export const RECORD_PREFIX = 'q/r/';
-export const CHUNKS = 'q/s/';
-/** Under it the controllers say that workers ask them, though they can't hear the leader. */
+/** Prefix of the chunks of snapshots. */
+export const CHUNK_PREFIX = 'q/s/';
+/** Under this prefix each node that workers reach claims so while it can't hear the leader. */
 export const REACH_PREFIX = 'q/reach/';
 
-const pad = (n: number): string => String(n).padStart(12, '0');
-export const recordKey = (n: RecordNumber | number): string => RECORD_PREFIX + pad(n);
+/** Zero-padded, so that keys sort by number. */
+const pad = (value: number): string => String(value).padStart(12, '0');
+export const recordKey = (recordNumber: RecordNumber | number): string => RECORD_PREFIX + pad(recordNumber);
 export const recordNumberOf = (key: string): RecordNumber =>
   Number(key.slice(RECORD_PREFIX.length)) as RecordNumber;
-export const chunkKey = (upto: number, i: number): string =>
-  `${CHUNKS}${pad(upto)}/${String(i).padStart(5, '0')}`;
+/** Key of one chunk of the snapshot that covers the records up to `upto`. */
+export const chunkKey = (upto: number, index: number): string =>
+  `${CHUNK_PREFIX}${pad(upto)}/${String(index).padStart(5, '0')}`;
 
 export const reachKey = (node: string): string => REACH_PREFIX + node;
 
+/** Value of the leader key: which node leads, and under which term. */
 export interface LeaderValue {
   node: string;
   term: number;
-  /** Told from an earlier run of the same node by this. */
+  /** Id of the process, to tell it from an earlier one of the same node. */
   run: string;
 }
-const leaderValue = z.object({ node: z.string().min(1), term: z.int().min(0), run: z.string() });
-const termValue = z.object({ term: z.int().min(0) });
+const leaderSchema = z.object({ node: z.string().min(1), term: z.int().min(0), run: z.string() });
+const termSchema = z.object({ term: z.int().min(0) });
 
-/** The leader key's value; null when it can't be read: it then proves nobody to lead. */
+/** Reads the leader key's value; null if it is malformed, which is no proof that any node leads. */
 export const readLeaderValue = (value: unknown): LeaderValue | null =>
-  leaderValue.safeParse(value).data ?? null;
+  leaderSchema.safeParse(value).data ?? null;
 
-/** The term key's value; null when it can't be read. */
+/** Reads the term key's value; null if it is malformed. */
 export const readTermValue = (value: unknown): Term | null =>
-  (termValue.safeParse(value).data?.term as Term | undefined) ?? null;
+  (termSchema.safeParse(value).data?.term as Term | undefined) ?? null;
 
-/** A controller is asked by workers, and can't hear the leader of that term. */
+/** Claim of a node that workers reach it, while it can't hear the leader of this term. */
 export interface ReachClaim {
   node: string;
   term: number;
   workers: number;
-  /** The version of its key: a newer one was written later. */
+  /** Version of its key, to tell a renewed claim from one read before. */
   version: number;
 }
-const reachValue = z.object({ term: z.int().min(0), workers: z.int().min(1) });
+const reachSchema = z.object({ term: z.int().min(0), workers: z.int().min(1) });
 
-/** Null when it can't be read. */
+/** Null if the value is malformed. */
 export function readReachClaim(item: { key: string; value: unknown; version: number }): ReachClaim | null {
-  const read = reachValue.safeParse(item.value);
+  const read = reachSchema.safeParse(item.value);
   return read.success
     ? { node: item.key.slice(REACH_PREFIX.length), version: item.version, ...read.data }
     : null;
 }
 
+/** Value of the snapshot head key: which snapshot is current. */
 export interface SnapshotHead {
+  /** The last record that the snapshot covers. */
   upto: number;
   chunks: number;
 }
--- a/src/wire/reports.ts
+++ b/src/wire/reports.ts
@@ -1,6 +1,6 @@
 /**
- * Reading workers' reports and writing the answers, at a cost that follows what changed: most reports
- * differ from the one before only in their number.
+ * Reads workers' reports and writes the answers. Most reports differ from the one before only in their
+ * sequence number; those are recognised without parsing.
  */
 import type {
   AttemptNumber,
@@ -25,7 +25,7 @@
   ended: 'exited',
 };
 
-const causes: Readonly<Record<string, EndCause | undefined>> = {
+const endCauses: Readonly<Record<string, EndCause | undefined>> = {
   done: 'done',
   stopped: 'stopped',
   peers: 'peers',
@@ -56,7 +56,7 @@
     task: Number(shift.slice(slash + 1)),
     attempt: attempt as AttemptNumber,
     state: taskStates[standing] ?? 'running',
-    cause: cause ? (causes[cause as string] ?? 'stopped') : undefined,
+    cause: cause ? (endCauses[cause as string] ?? 'stopped') : undefined,
     saved: stored === true,
   };
 }
@@ -74,8 +74,8 @@
 }
 
 /**
- * A worker's report; null when it is malformed. Written by hand: reports are most of what a controller
- * reads, and checking each with a schema library took a third of a leader's time.
+ * Reads a worker's report; null if it is malformed. Validated by hand: reports are most of what a controller
+ * reads, and validating each with a schema library took a third of a leader's time.
  */
 export function readReport(body: unknown): WorkerReport | null {
   if (!isObject(body)) return null;
@@ -101,12 +101,12 @@
   };
 }
 
-/** The number of a report, as it stands in its text. */
-const SEQUENCE = /"tally":[ \t\r\n]*(0|[1-9]\d{0,14})(?=[ \t\r\n]*[,}])/;
-const OCCURRENCE = '"tally"';
+/** The sequence number as it appears in the text of a report. */
+const SEQUENCE_NUMBER = /"tally":[ \t\r\n]*(0|[1-9]\d{0,14})(?=[ \t\r\n]*[,}])/;
+const SEQUENCE_KEY = '"tally"';
 const DIGITS = /^(0|[1-9]\d{0,14})$/;
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text) as unknown;
   } catch {
@@ -115,50 +115,52 @@
 }
 
 /**
- * Reads the reports of one connection. A text that equals the last accepted one but for the digits of its
- * number is as well-formed as that one was, and its tasks are the same array: nothing is parsed or copied.
+ * Reads the reports of one connection. A text that differs from the last accepted one only in the digits of
+ * its sequence number is as well formed as that one, so it is not parsed, and its tasks are the same array.
  */
 export class ReportReader {
   private last: WorkerReport | null = null;
-  private before = '';
-  private after = '';
+  /** Text of the last report before and after the digits of its sequence number. */
+  private prefix = '';
+  private suffix = '';
 
-  /** Null: malformed. */
+  /** Null if the report is malformed. */
   read(text: string): WorkerReport | null {
-    return this.unchanged(text) ?? this.parse(text);
+    return this.readRepeated(text) ?? this.parse(text);
   }
 
-  private unchanged(text: string): WorkerReport | null {
-    const { last, before, after } = this;
-    if (!last || !text.startsWith(before) || !text.endsWith(after)) return null;
-    const digits = text.slice(before.length, text.length - after.length);
+  private readRepeated(text: string): WorkerReport | null {
+    const { last, prefix, suffix } = this;
+    if (!last || !text.startsWith(prefix) || !text.endsWith(suffix)) return null;
+    const digits = text.slice(prefix.length, text.length - suffix.length);
     if (!DIGITS.test(digits)) return null;
     this.last = { ...last, seq: Number(digits) };
     return this.last;
   }
 
   private parse(text: string): WorkerReport | null {
-    const report = readReport(parse(text));
+    const report = readReport(parseJson(text));
     this.last = null;
     if (report) this.remember(text, report);
     return report;
   }
 
   /**
-   * Only where the number's place is beyond doubt: its name stands once, and without escapes it can be
-   * neither spelled in another way nor part of a string.
+   * Keeps the report for comparison, but only if the place of its sequence number is unambiguous: the key
+   * occurs once, and in a text without escapes it can be neither spelled differently nor part of a string.
    */
   private remember(text: string, report: WorkerReport): void {
-    const found = SEQUENCE.exec(text);
-    if (!found || text.includes('\\') || text.indexOf(OCCURRENCE) !== text.lastIndexOf(OCCURRENCE)) return;
+    const found = SEQUENCE_NUMBER.exec(text);
+    if (!found || text.includes('\\') || text.indexOf(SEQUENCE_KEY) !== text.lastIndexOf(SEQUENCE_KEY))
+      return;
     const digits = found[1]!;
     const start = found.index + found[0].length - digits.length;
-    this.before = text.slice(0, start);
-    this.after = text.slice(start + digits.length);
+    this.prefix = text.slice(0, start);
+    this.suffix = text.slice(start + digits.length);
     this.last = report;
   }
 }
 
-/** The answer to a report, in JSON. */
-export const writeReportAnswerJson = (term: Term, fence: Fence, orders: Command[]): string =>
-  JSON.stringify(writeReportAnswer(term, fence, orders));
+/** The answer to a report, as JSON text. */
+export const writeReportAnswerJson = (term: Term, fence: Fence, commands: Command[]): string =>
+  JSON.stringify(writeReportAnswer(term, fence, commands));
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -1,4 +1,8 @@
-// The protocols' words end here: inside there are only jobs, tasks, workers, terms and sessions.
+/**
+ * Formats of the messages exchanged with users, workers, the cloud and the state service, and their
+ * translation to the terms of the rest of the code: `write...` makes what is sent, `read...` validates what
+ * was received.
+ */
 import * as z from 'zod';
 import type {
   Command,
@@ -12,107 +16,116 @@
   Term,
 } from '../core/types.js';
 
-const amount = z.number().min(0);
+const nonNegative = z.number().min(0);
 export const jobIdPattern = /^wk-\d{1,19}$/;
 
-const submission = z.object({
+const submissionSchema = z.object({
   name_id: z.string().regex(jobIdPattern),
   duty: z.string().min(1).max(200),
   desk: z.string().max(200),
-  // `service` stands on no page; the operators' own check submits it (docs/questions.md, 1).
+  // `service` is not documented; the operators' own check submits it (docs/questions.md, 1).
   shape: z.enum(['array', 'ensemble', 'service']),
   urgency: z.enum(['production', 'high', 'standard', 'low']),
   shifts: z.number().int().min(1).max(100_000),
   cpus: z.number().gt(0),
-  accelerators: amount,
-  mem_gb: amount,
+  accelerators: nonNegative,
+  mem_gb: nonNegative,
   kit: z.string().max(500),
-  image_gb: amount,
+  image_gb: nonNegative,
   breeds: z.array(z.string().max(100)).max(50).nullish(),
   yard: z.string().max(100).nullish(),
   together: z.boolean(),
   spread: z.boolean(),
   loaners: z.boolean(),
-  reckon_s: amount,
-  waymark_s: amount,
-  stow_s: amount,
-  due_s: amount.nullish(),
+  reckon_s: nonNegative,
+  waymark_s: nonNegative,
+  stow_s: nonNegative,
+  due_s: nonNegative.nullish(),
 });
 
-const priorityIn: Record<string, Priority> = {
+const priorities: Record<string, Priority> = {
   production: 'production',
   high: 'high',
   standard: 'normal',
   low: 'low',
 };
 
+/** Validates a submission; the error names the first field that is wrong. */
 export function readJob(body: unknown): { spec: JobSpec } | { error: string } {
-  const r = submission.safeParse(body);
-  if (!r.success) {
-    const i = r.error.issues[0];
-    return { error: `${i?.path.join('.') || 'body'}: ${i?.message ?? 'invalid'}` };
+  const parsed = submissionSchema.safeParse(body);
+  if (!parsed.success) {
+    const issue = parsed.error.issues[0];
+    return { error: `${issue?.path.join('.') || 'body'}: ${issue?.message ?? 'invalid'}` };
   }
-  const b = r.data;
+  const job = parsed.data;
   return {
     spec: {
-      id: b.name_id as JobId,
-      class: b.duty,
-      team: b.desk,
-      gang: b.shape === 'ensemble',
-      priority: priorityIn[b.urgency]!,
-      tasks: b.shifts,
-      cpus: b.cpus,
-      gpus: b.accelerators,
-      mem: b.mem_gb,
-      image: b.kit,
-      imageGb: b.image_gb,
-      types: b.breeds ?? null,
-      zone: b.yard ?? null,
-      oneZone: b.together,
-      spread: b.spread,
-      spot: b.loaners,
-      estimate: b.reckon_s,
-      checkpoint: b.waymark_s,
-      save: b.stow_s,
-      deadline: b.due_s ?? null,
+      id: job.name_id as JobId,
+      class: job.duty,
+      team: job.desk,
+      gang: job.shape === 'ensemble',
+      priority: priorities[job.urgency]!,
+      tasks: job.shifts,
+      cpus: job.cpus,
+      gpus: job.accelerators,
+      mem: job.mem_gb,
+      image: job.kit,
+      imageGb: job.image_gb,
+      types: job.breeds ?? null,
+      zone: job.yard ?? null,
+      oneZone: job.together,
+      spread: job.spread,
+      spot: job.loaners,
+      estimate: job.reckon_s,
+      checkpoint: job.waymark_s,
+      save: job.stow_s,
+      deadline: job.due_s ?? null,
     },
   };
 }
 
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
+/** The answer to a user who asks for a job. */
 export const writeJobStatus = (
   id: string,
-  s: JobStatus,
+  status: JobStatus,
   counts?: { done: number; running: number },
 ): object => ({
   name_id: id,
-  standing: s === 'cancelled' ? 'aborted' : s,
+  standing: status === 'cancelled' ? 'aborted' : status,
   ...counts,
 });
 
-/** A worker's token orders terms, and within a term the fences that its leader raised for this worker. */
+/**
+ * Fences that a leader can raise for one worker within its term. The fencing token, `warrant` in the
+ * protocol, orders terms, and within a term these fences; a worker rejects what carries a lower token than it
+ * has seen.
+ */
 export const FENCES_PER_TERM = 2 ** 20;
-const token = (term: Term, fence: Fence): number => term * FENCES_PER_TERM + fence;
+const fencingToken = (term: Term, fence: Fence): number => term * FENCES_PER_TERM + fence;
 
-const writeCommand = (c: Command): object => {
-  const shift = `${c.job}/${c.task}`;
-  if (c.op === 'start') return { verb: 'launch', shift, try: c.attempt };
-  if (c.op === 'stop') return { verb: 'halt', shift, try: c.attempt, leeway_s: c.grace };
-  return { verb: 'clear', shift, try: c.attempt };
+const writeCommand = (command: Command): object => {
+  const shift = `${command.job}/${command.task}`;
+  if (command.op === 'start') return { verb: 'launch', shift, try: command.attempt };
+  if (command.op === 'stop') return { verb: 'halt', shift, try: command.attempt, leeway_s: command.grace };
+  return { verb: 'clear', shift, try: command.attempt };
 };
 
-export const writeReportAnswer = (term: Term, fence: Fence, orders: Command[]): object => ({
-  warrant: token(term, fence),
-  orders: orders.map(writeCommand),
+/** The leader's answer to a worker's report. */
+export const writeReportAnswer = (term: Term, fence: Fence, commands: Command[]): object => ({
+  warrant: fencingToken(term, fence),
+  orders: commands.map(writeCommand),
 });
-export const writeDirectCall = (term: Term, fence: Fence, session: Session, orders: Command[]): object => ({
-  warrant: token(term, fence),
+/** Commands that the leader sends without waiting for the worker's next report. */
+export const writeDirectCall = (term: Term, fence: Fence, session: Session, commands: Command[]): object => ({
+  warrant: fencingToken(term, fence),
   stint: session,
-  orders: orders.map(writeCommand),
+  orders: commands.map(writeCommand),
 });
+/** The answer of a node that does not lead: names the leader if it is known. */
 export const writeRedirect = (leader: string | null): object => (leader ? { steward: leader } : {});
 
-const flavors = z.object({
+const machineTypesSchema = z.object({
   breeds: z.array(
     z.object({
       sku: z.string(),
@@ -130,39 +143,42 @@
 });
 
 export function readMachineTypes(body: unknown): MachineType[] {
-  return flavors.parse(body).breeds.map((b) => ({
-    name: b.sku,
-    cpus: b.cpus,
-    gpus: b.accelerators ?? 0,
-    mem: b.mem_gb,
-    cacheGb: b.local_gb ?? 100,
-    fetch: b.pull_gb_per_s ?? 0.1,
-    price: b.price,
-    spotPrice: b.market_price ?? b.price,
-    boot: b.ready_s,
-    zones: b.yards,
+  return machineTypesSchema.parse(body).breeds.map((type) => ({
+    name: type.sku,
+    cpus: type.cpus,
+    gpus: type.accelerators ?? 0,
+    mem: type.mem_gb,
+    cacheGb: type.local_gb ?? 100,
+    fetch: type.pull_gb_per_s ?? 0.1,
+    price: type.price,
+    spotPrice: type.market_price ?? type.price,
+    boot: type.ready_s,
+    zones: type.yards,
   }));
 }
 
-export const writeRentalRequest = (h: {
+export const writeRentalRequest = (rental: {
   name: string;
   type: string;
   zone: string;
   spot: boolean;
   n: number;
 }): object => ({
-  hire: h.name,
-  breed: h.type,
-  yard: h.zone,
-  loaners: h.spot,
-  count: h.n,
+  hire: rental.name,
+  breed: rental.type,
+  yard: rental.zone,
+  loaners: rental.spot,
+  count: rental.n,
+});
+export const writeReturnRequest = (machines: readonly MachineId[]): object => ({
+  mounts: machines,
 });
-export const writeReturnRequest = (m: readonly MachineId[]): object => ({ mounts: m });
 
-const names = z.object({ mounts: z.array(z.string()) });
-export const readRentedMachines = (body: unknown): MachineId[] => names.parse(body).mounts as MachineId[];
+const rentedMachinesSchema = z.object({ mounts: z.array(z.string()) });
+export const readRentedMachines = (body: unknown): MachineId[] =>
+  rentedMachinesSchema.parse(body).mounts as MachineId[];
 
-const list = z.object({
+const machineListSchema = z.object({
   mounts: z.array(
     z.object({
       name_id: z.string(),
@@ -176,30 +192,32 @@
   ),
   truncated: z.boolean().nullish(),
 });
+/** A machine as the cloud lists it. */
 export interface ListedMachine {
   id: MachineId;
   type: string;
   zone: string;
   spot: boolean;
   state: 'booting' | 'running' | 'failed';
+  /** Seconds since it was rented. */
   ageSeconds: number;
 }
 export function readMachineList(body: unknown): { machines: ListedMachine[]; more: boolean } {
-  const b = list.parse(body);
+  const page = machineListSchema.parse(body);
   return {
-    more: b.truncated ?? false,
-    machines: b.mounts.map((m) => ({
-      id: m.name_id as MachineId,
-      type: m.breed,
-      zone: m.yard,
-      spot: m.loaners ?? false,
-      state: m.standing as ListedMachine['state'],
-      ageSeconds: m.held_s,
+    more: page.truncated ?? false,
+    machines: page.mounts.map((machine) => ({
+      id: machine.name_id as MachineId,
+      type: machine.breed,
+      zone: machine.yard,
+      spot: machine.loaners ?? false,
+      state: machine.standing as ListedMachine['state'],
+      ageSeconds: machine.held_s,
     })),
   };
 }
 
-// State service
+// Answers of the state service.
 export const transactionSchema = z.object({ ledger: z.number(), failed: z.array(z.string()).nullish() });
 export const keySchema = z.object({
   key: z.string(),
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -1,4 +1,4 @@
-/** The platform's settings file: its checked form. */
+/** Schema of the platform's settings file. */
 import * as z from 'zod';
 import type { Team } from '../core/types.js';
 import { addressProblem } from '../io/address.js';
@@ -61,23 +61,24 @@
   }),
 });
 
-/** PROTOCOL's 0 of a limit: there is none. Of a guarantee it is 0. */
-const limit = (most: number): number => (most === 0 ? Infinity : most);
+/** In the settings a maximum of 0 means that there is none; a guaranteed amount of 0 is just that. */
+const limitOf = (maximum: number): number => (maximum === 0 ? Infinity : maximum);
 
-export const teamsOf = (s: Settings): Team[] =>
-  s.cluster.teams.map((t) => ({
-    name: t.name,
-    cpus: t.cpus,
-    cpusMax: limit(t.cpus_max),
-    gpus: t.gpus,
-    gpusMax: limit(t.gpus_max),
+export const teamsOf = (settings: Settings): Team[] =>
+  settings.cluster.teams.map((team) => ({
+    name: team.name,
+    cpus: team.cpus,
+    cpusMax: limitOf(team.cpus_max),
+    gpus: team.gpus,
+    gpusMax: limitOf(team.gpus_max),
   }));
 
 export type Settings = z.infer<typeof settingsSchema>;
 
+/** Validates the settings; the error names the first field that is wrong. Unknown fields are ignored. */
 export function readSettings(raw: unknown): Settings {
-  const r = settingsSchema.safeParse(raw);
-  if (r.success) return r.data;
-  const i = r.error.issues[0];
-  throw new Error(`settings: ${i?.path.join('.') || 'file'}: ${i?.message ?? 'invalid'}`);
+  const parsed = settingsSchema.safeParse(raw);
+  if (parsed.success) return parsed.data;
+  const issue = parsed.error.issues[0];
+  throw new Error(`settings: ${issue?.path.join('.') || 'file'}: ${issue?.message ?? 'invalid'}`);
 }
--- a/src/wire/store.ts
+++ b/src/wire/store.ts
@@ -1,9 +1,11 @@
-/** The state service, in this project's words. */
+/** Client of the state service: transactions, reads, watches and leases over HTTP. */
 import type { HttpCall } from '../io/http-client.js';
 import { keyListSchema, keySchema, leaseSchema, transactionSchema, watchSchema } from './schemas.js';
 
+/** Version of a key: the revision of its last write; 0 stands for a key that does not exist. */
 export type Version = number;
 export type LeaseId = number;
+/** Counter of the whole state service, raised by every change. */
 export type Revision = number;
 
 export interface KeyValue {
@@ -11,14 +13,17 @@
   value: unknown;
   version: Version;
 }
+/** One event of a watch. */
 export interface Change {
   key: string;
-  /** undefined: removed */
+  /** Undefined if the key was removed. */
   value: unknown;
   removed: boolean;
   version: Version;
 }
+/** A key written with a lease is removed when the lease ends. */
 export type WriteOperation = { put: string; value: unknown; lease?: LeaseId } | { remove: string };
+/** A precondition of a transaction; sent as it is, hence the protocol's name for the version. */
 export interface Guard {
   key: string;
   stamp: Version;
@@ -26,67 +31,83 @@
 
 export type TransactionResult =
   | { outcome: 'done'; revision: Revision }
+  /** The keys whose guards did not hold. */
   | { outcome: 'failed'; keys: string[] }
-  /** The service said that it was not carried out. */
+  /** The service answered that it was not carried out. */
   | { outcome: 'refused' }
   | { outcome: 'no_lease' }
-  /** It may have been carried out, or may be later. */
+  /** Without a usable answer: it may have been carried out, or may be later. */
   | { outcome: 'unknown' };
 
-/** What a lease's renewal was answered with; unanswered: it may have been carried out, or may be later. */
+/** Result of renewing a lease; an unanswered renewal may have been carried out, or may be later. */
 export type RenewalResult = 'ok' | 'ended' | 'refused' | 'unanswered';
 
-/** The usual time for an answer. Whoever can use a later one says so. */
+/** Default time limit of a request, for callers that have no use for a later answer. */
 export const ANSWER_TIMEOUT_MS = 1200;
-/** The same for lists, of which each part may be long. */
+/** Default time limit of each page of a list; pages can be large. */
 export const LIST_TIMEOUT_MS = 3000;
 
-/** The state service, as the actors use it. */
 export class StateServiceClient {
   constructor(
     private readonly call: HttpCall,
     private readonly address: string,
   ) {}
 
+  /** Applies all operations at once if every guard holds, and none of them otherwise. */
   async transact(
     guards: Guard[],
-    ops: WriteOperation[],
+    operations: WriteOperation[],
     timeoutMs = ANSWER_TIMEOUT_MS,
   ): Promise<TransactionResult> {
     const body = {
       guards,
-      apply: ops.map((o) =>
-        'put' in o
-          ? { write: o.put, data: o.value, ...(o.lease === undefined ? {} : { tenure: o.lease }) }
-          : { remove: o.remove },
+      apply: operations.map((operation) =>
+        'put' in operation
+          ? {
+              write: operation.put,
+              data: operation.value,
+              ...(operation.lease === undefined ? {} : { tenure: operation.lease }),
+            }
+          : { remove: operation.remove },
       ),
     };
-    const a = await this.call(this.address, 'POST', '/txn', body, timeoutMs);
-    if (!a) return { outcome: 'unknown' };
-    if (a.status === 200 || a.status === 409) {
-      const t = transactionSchema.safeParse(a.body);
-      if (!t.success) return { outcome: 'unknown' };
-      return a.status === 200
-        ? { outcome: 'done', revision: t.data.ledger }
-        : { outcome: 'failed', keys: t.data.failed ?? [] };
+    const response = await this.call(this.address, 'POST', '/txn', body, timeoutMs);
+    if (!response) return { outcome: 'unknown' };
+    if (response.status === 200 || response.status === 409) {
+      const parsed = transactionSchema.safeParse(response.body);
+      if (!parsed.success) return { outcome: 'unknown' };
+      return response.status === 200
+        ? { outcome: 'done', revision: parsed.data.ledger }
+        : { outcome: 'failed', keys: parsed.data.failed ?? [] };
     }
-    if (a.status === 400) return { outcome: 'no_lease' };
-    return a.status === 429 || a.status === 503 ? { outcome: 'refused' } : { outcome: 'unknown' };
+    if (response.status === 400) return { outcome: 'no_lease' };
+    return response.status === 429 || response.status === 503
+      ? { outcome: 'refused' }
+      : { outcome: 'unknown' };
   }
 
-  /** undefined: could not be read; null: no such key. */
+  /** Reads one key; null if it does not exist, undefined if it could not be read. */
   async get(
     key: string,
     timeoutMs = ANSWER_TIMEOUT_MS,
   ): Promise<(KeyValue & { leaseId: LeaseId | null }) | null | undefined> {
-    const a = await this.call(this.address, 'GET', `/kv/${key}`, undefined, timeoutMs);
-    if (a?.status === 404) return null;
-    if (a?.status !== 200) return undefined;
-    const k = keySchema.safeParse(a.body);
-    if (!k.success) return undefined;
-    return { key: k.data.key, value: k.data.data, version: k.data.stamp, leaseId: k.data.tenure ?? null };
+    const response = await this.call(this.address, 'GET', `/kv/${key}`, undefined, timeoutMs);
+    if (response?.status === 404) return null;
+    if (response?.status !== 200) return undefined;
+    const parsed = keySchema.safeParse(response.body);
+    if (!parsed.success) return undefined;
+    return {
+      key: parsed.data.key,
+      value: parsed.data.data,
+      version: parsed.data.stamp,
+      leaseId: parsed.data.tenure ?? null,
+    };
   }
 
+  /**
+   * Reads all keys under a prefix that follow `after` in order, page by page, with the revision of the first
+   * page. Undefined if a page could not be read.
+   */
   async list(
     prefix: string,
     after: string | null,
@@ -95,57 +116,62 @@
     const items: KeyValue[] = [];
     let revision: Revision | null = null;
     for (let from = after; ;) {
-      const q = `/kv?under=${encodeURIComponent(prefix)}${from === null ? '' : `&after=${encodeURIComponent(from)}`}&most=1000`;
-      const a = await this.call(this.address, 'GET', q, undefined, timeoutMs);
-      if (a?.status !== 200) return undefined;
-      const k = keyListSchema.safeParse(a.body);
-      if (!k.success) return undefined;
-      revision ??= k.data.ledger;
-      for (const i of k.data.items) items.push({ key: i.key, value: i.data, version: i.stamp });
-      if (!k.data.truncated || k.data.items.length === 0) return { items, revision };
-      from = k.data.items[k.data.items.length - 1]!.key;
+      const path = `/kv?under=${encodeURIComponent(prefix)}${from === null ? '' : `&after=${encodeURIComponent(from)}`}&most=1000`;
+      const response = await this.call(this.address, 'GET', path, undefined, timeoutMs);
+      if (response?.status !== 200) return undefined;
+      const parsed = keyListSchema.safeParse(response.body);
+      if (!parsed.success) return undefined;
+      revision ??= parsed.data.ledger;
+      for (const item of parsed.data.items)
+        items.push({ key: item.key, value: item.data, version: item.stamp });
+      if (!parsed.data.truncated || parsed.data.items.length === 0) return { items, revision };
+      from = parsed.data.items[parsed.data.items.length - 1]!.key;
     }
   }
 
+  /**
+   * Waits up to `waitMs` for changes under a prefix since a revision. 'too_old' if the service no longer has
+   * the changes since then, undefined if it could not be asked.
+   */
   async watch(
     prefix: string,
     after: Revision,
     waitMs: number,
   ): Promise<{ revision: Revision; changes: Change[] } | 'too_old' | undefined> {
-    const q = `/watch?under=${encodeURIComponent(prefix)}&after=${after}&block_ms=${waitMs}`;
-    const a = await this.call(this.address, 'GET', q, undefined, waitMs + 3000);
-    if (a?.status === 410) return 'too_old';
-    if (a?.status !== 200) return undefined;
-    const w = watchSchema.safeParse(a.body);
-    if (!w.success) return undefined;
+    const path = `/watch?under=${encodeURIComponent(prefix)}&after=${after}&block_ms=${waitMs}`;
+    const response = await this.call(this.address, 'GET', path, undefined, waitMs + 3000);
+    if (response?.status === 410) return 'too_old';
+    if (response?.status !== 200) return undefined;
+    const parsed = watchSchema.safeParse(response.body);
+    if (!parsed.success) return undefined;
     return {
-      revision: w.data.ledger,
-      changes: w.data.news.map((n) => ({
-        key: n.write ?? n.remove ?? '',
-        value: n.data,
-        removed: n.write === undefined || n.write === null,
-        version: n.stamp,
+      revision: parsed.data.ledger,
+      changes: parsed.data.news.map((event) => ({
+        key: event.write ?? event.remove ?? '',
+        value: event.data,
+        removed: event.write === undefined || event.write === null,
+        version: event.stamp,
       })),
     };
   }
 
-  /** A new lease; undefined: none was made, or its number is not known. */
-  async grantLease(lifeMs: number, timeoutMs = ANSWER_TIMEOUT_MS): Promise<LeaseId | undefined> {
-    const a = await this.call(this.address, 'POST', '/leases', { life_ms: lifeMs }, timeoutMs);
-    const l = a?.status === 200 ? leaseSchema.safeParse(a.body) : undefined;
-    return l?.success ? l.data.tenure : undefined;
+  /** Grants a new lease; undefined if none was made or its id is not known. */
+  async grantLease(durationMs: number, timeoutMs = ANSWER_TIMEOUT_MS): Promise<LeaseId | undefined> {
+    const response = await this.call(this.address, 'POST', '/leases', { life_ms: durationMs }, timeoutMs);
+    const parsed = response?.status === 200 ? leaseSchema.safeParse(response.body) : undefined;
+    return parsed?.success ? parsed.data.tenure : undefined;
   }
 
   async renewLease(id: LeaseId, timeoutMs: number): Promise<RenewalResult> {
-    const a = await this.call(this.address, 'POST', `/leases/${id}/touch`, {}, timeoutMs);
-    if (!a) return 'unanswered';
-    if (a.status === 200) return 'ok';
-    return a.status === 404 ? 'ended' : 'refused';
+    const response = await this.call(this.address, 'POST', `/leases/${id}/touch`, {}, timeoutMs);
+    if (!response) return 'unanswered';
+    if (response.status === 200) return 'ok';
+    return response.status === 404 ? 'ended' : 'refused';
   }
 
-  /** Whether the lease is known to be over. */
+  /** Ends a lease; true only if it is certain to be over. */
   async revokeLease(id: LeaseId): Promise<boolean> {
-    const a = await this.call(this.address, 'DELETE', `/leases/${id}`, undefined, ANSWER_TIMEOUT_MS);
-    return a?.status === 200 || a?.status === 404;
+    const response = await this.call(this.address, 'DELETE', `/leases/${id}`, undefined, ANSWER_TIMEOUT_MS);
+    return response?.status === 200 || response?.status === 404;
   }
 }
