--- a/src/io/address.ts
+++ b/src/io/address.ts
@@ -1,4 +1,4 @@
-/** Addresses as the settings write them: `host:port`, `[IPv6]:port`. */
+/** Parses and checks addresses of the settings file: `host:port` or `[IPv6]:port`. */
 import ipaddr from 'ipaddr.js';
 
 export interface HostPort {
@@ -6,24 +6,24 @@
   port: number;
 }
 
-const HIGHEST_PORT = 65_535;
+const MAX_PORT = 65_535;
 const HOST_NAME = /^[a-z0-9]([a-z0-9-]*[a-z0-9])?(\.[a-z0-9]([a-z0-9-]*[a-z0-9])?)*$/i;
-/** Ranges of addresses that name no single host. */
-const NO_HOST: ReadonlySet<string> = new Set(['multicast', 'broadcast']);
+/** Address ranges that do not denote a single host. */
+const NON_HOST_RANGES: ReadonlySet<string> = new Set(['multicast', 'broadcast']);
 
-/** Cuts an address that is known to be well formed. */
+/** Splits an address that is known to be well formed. */
 export function parseHostPort(address: string): HostPort {
-  const cut = address.lastIndexOf(':');
-  const host = address.slice(0, cut).replace(/^\[(.*)\]$/, '$1');
-  return { host, port: Number(address.slice(cut + 1)) };
+  const separator = address.lastIndexOf(':');
+  const host = address.slice(0, separator).replace(/^\[(.*)\]$/, '$1');
+  return { host, port: Number(address.slice(separator + 1)) };
 }
 
-/** What is wrong with an address, in words for an operator; null when nothing is. */
+/** What is wrong with an address, as a message for operators; null if it is valid. */
 export function addressProblem(address: string): string | null {
   const parts = /^(\[[^\]]*\]|[^:\s]+):(\d+)$/.exec(address);
   if (!parts) return `expected host:port, found "${address}"`;
   const { host, port } = parseHostPort(address);
-  if (port > HIGHEST_PORT) return `expected a port of at most ${HIGHEST_PORT}, found ${port}`;
+  if (port > MAX_PORT) return `expected a port of at most ${MAX_PORT}, found ${port}`;
   if (ipaddr.isValid(host)) return rangeProblem(host);
   const looksNumeric = /^[\d.]+$/.test(host) || parts[1]!.startsWith('[');
   if (!looksNumeric && HOST_NAME.test(host)) return null;
@@ -32,5 +32,5 @@
 
 function rangeProblem(host: string): string | null {
   const range = ipaddr.parse(host).range();
-  return NO_HOST.has(range) ? `expected the address of one host, found ${host} (${range})` : null;
+  return NON_HOST_RANGES.has(range) ? `expected the address of one host, found ${host} (${range})` : null;
 }
--- a/src/io/clock.ts
+++ b/src/io/clock.ts
@@ -1,22 +1,25 @@
 import type { SteadyMs, WallMs } from '../core/types.js';
 
+/** Cancels a timer; has no effect once it has fired. */
 export type Cancel = () => void;
 
-/** Time as the actors know it; tests put a virtual one in its place. */
+/** Source of time and timers for the actors; tests replace it with a virtual clock. */
 export interface Clock {
+  /** Never set back; for durations and deadlines within one process. */
   steady(): SteadyMs;
+  /** Time of day; for times that are stored or sent to other nodes. */
   wall(): WallMs;
-  after(ms: number, run: () => void): Cancel;
+  after(ms: number, callback: () => void): Cancel;
 }
 
 export const realClock: Clock = {
   steady: () => (Number(process.hrtime.bigint() / 1000n) / 1000) as SteadyMs,
   wall: () => Date.now() as WallMs,
-  after: (ms, run) => {
-    const t = setTimeout(run, ms);
-    return () => clearTimeout(t);
+  after: (ms, callback) => {
+    const timer = setTimeout(callback, ms);
+    return () => clearTimeout(timer);
   },
 };
 
 export const sleep = (clock: Clock, ms: number): Promise<void> =>
-  new Promise((done) => void clock.after(ms, done));
+  new Promise((resolve) => void clock.after(ms, resolve));
--- a/src/io/http-client.ts
+++ b/src/io/http-client.ts
@@ -1,14 +1,15 @@
-/** HTTP requests to workers, the state service and the cloud, over connections that are kept and reused. */
+/** HTTP client for workers, the state service and the cloud, with a pool of persistent connections. */
 import net from 'node:net';
 import { parseHostPort } from './address.js';
 import { encodingOf, ResponseReader, writeRequest } from './http-message.js';
 
 export interface HttpResponse {
   status: number;
+  /** Parsed JSON; undefined if the body is empty or malformed. */
   body: unknown;
 }
 
-/** null: no answer; the request may or may not have been carried out, now or later. */
+/** Resolves to null if there was no response: the request may have been carried out, or may be later. */
 export type HttpCall = (
   address: string,
   method: 'GET' | 'POST' | 'DELETE',
@@ -17,15 +18,15 @@
   timeoutMs: number,
 ) => Promise<HttpResponse | null>;
 
-/** How long a connection is kept with nothing to do. */
+/** How long an idle connection is kept. */
 const IDLE_MS = 8000;
 const MAX_IDLE_PER_ADDRESS = 4;
 
-/** Whether another connection may be kept, when so many are open. */
-type MayKeep = (open: number) => boolean;
-type Settle = (answer: HttpResponse | null) => void;
+/** Whether an idle connection may be kept, given the number of open ones. */
+type MayKeep = (openConnections: number) => boolean;
+type Settle = (response: HttpResponse | null) => void;
 
-function parseAnswer(status: number, text: string): HttpResponse {
+function parseResponse(status: number, text: string): HttpResponse {
   try {
     return { status, body: text ? (JSON.parse(text) as unknown) : undefined };
   } catch {
@@ -33,7 +34,7 @@
   }
 }
 
-/** One connection: carries one request at a time. */
+/** One connection, which carries one request at a time. */
 class ClientConnection {
   private readonly socket: net.Socket;
   private reader: ResponseReader | null = null;
@@ -41,8 +42,9 @@
 
   constructor(
     address: string,
-    /** Told once the connection is usable for another request, or is gone for good. */
+    /** Called when the connection can carry another request. */
     private readonly onIdle: (connection: ClientConnection) => void,
+    /** Called when the connection is closed. */
     private readonly onClosed: (connection: ClientConnection) => void,
   ) {
     this.socket = net.connect({ ...parseHostPort(address), noDelay: true });
@@ -51,7 +53,7 @@
     this.socket.on('error', () => this.destroy());
     this.socket.on('timeout', () => this.destroy());
     this.socket.on('close', () => {
-      this.answer(null);
+      this.settleRequest(null);
       this.onClosed(this);
     });
   }
@@ -62,12 +64,12 @@
     this.socket.write(text, encodingOf(text));
   }
 
-  /** Nothing is under way: the connection closes by itself after a while. */
-  idle(): void {
+  /** Closes the connection if it stays unused for `IDLE_MS`. */
+  startIdleTimeout(): void {
     this.socket.setTimeout(IDLE_MS);
   }
 
-  busy(): void {
+  stopIdleTimeout(): void {
     this.socket.setTimeout(0);
   }
 
@@ -88,32 +90,32 @@
   private finish(response: { status: number; body: string; close: boolean } | null): void {
     if (!response || response.close) this.destroy();
     if (!response) return;
-    this.answer(parseAnswer(response.status, response.body));
+    this.settleRequest(parseResponse(response.status, response.body));
     if (!response.close) this.onIdle(this);
   }
 
-  private answer(answer: HttpResponse | null): void {
+  private settleRequest(response: HttpResponse | null): void {
     const { settle } = this;
     this.reader = null;
     this.settle = null;
-    settle?.(answer);
+    settle?.(response);
   }
 }
 
-/** Connections by address; idle ones are reused, the latest first, and kept only while sockets are to spare. */
+/** Connections by address; the most recently used is reused first, and idle ones are kept while allowed. */
 class ConnectionPool {
   private readonly idle = new Map<string, ClientConnection[]>();
-  private open = 0;
+  private openConnections = 0;
 
   constructor(private readonly mayKeep: MayKeep) {}
 
   take(address: string): ClientConnection {
     const kept = this.idle.get(address)?.pop();
     if (kept) {
-      kept.busy();
+      kept.stopIdleTimeout();
       return kept;
     }
-    this.open++;
+    this.openConnections++;
     return new ClientConnection(
       address,
       (connection) => this.keep(address, connection),
@@ -123,31 +125,33 @@
 
   private keep(address: string, connection: ClientConnection): void {
     const kept = this.idle.get(address) ?? [];
-    if (kept.length >= MAX_IDLE_PER_ADDRESS || !this.mayKeep(this.open)) return connection.destroy();
+    if (kept.length >= MAX_IDLE_PER_ADDRESS || !this.mayKeep(this.openConnections))
+      return connection.destroy();
     this.idle.set(address, kept);
     kept.push(connection);
-    connection.idle();
+    connection.startIdleTimeout();
   }
 
   private forget(address: string, connection: ClientConnection): void {
-    this.open--;
+    this.openConnections--;
     const kept = this.idle.get(address)?.filter((other) => other !== connection);
     if (kept && kept.length > 0) this.idle.set(address, kept);
     else this.idle.delete(address);
   }
 }
 
+/** Creates the function that sends requests, with a connection pool of its own. */
 export function createHttpCall(mayKeep: MayKeep = () => true): HttpCall {
   const pool = new ConnectionPool(mayKeep);
   return (address, method, path, body, timeoutMs) =>
     new Promise((resolve) => {
       const text = body === undefined ? undefined : JSON.stringify(body);
       const connection = pool.take(address);
-      // No connection is kept on trust: one that did not answer in time is not used again.
+      // A connection whose request was not answered in time is closed, never reused.
       const timer = setTimeout(() => connection.destroy(), timeoutMs);
-      connection.send(writeRequest(method, address, path, text), (answer) => {
+      connection.send(writeRequest(method, address, path, text), (response) => {
         clearTimeout(timer);
-        resolve(answer);
+        resolve(response);
       });
     });
 }
--- a/src/io/http-message.ts
+++ b/src/io/http-message.ts
@@ -1,7 +1,7 @@
 /**
- * HTTP/1.1 messages on plain sockets, for the exchanges that make up nearly all of a controller's traffic:
- * reports and commands of workers, and calls to the state service and the cloud. Node's own HTTP classes
- * cost several times as much for each message, which a controller on a small share of a core can't afford.
+ * HTTP/1.1 messages on plain sockets, for nearly all of a controller's traffic: reports of workers and
+ * commands to them, and requests to the state service and the cloud. Node's own HTTP classes cost several
+ * times as much for each message, too much for a controller that has a small share of a core.
  */
 
 const HEAD_END = '\r\n\r\n';
@@ -9,16 +9,17 @@
 
 export class MalformedMessageError extends Error {}
 
+/** Start line and those headers that the client or the server needs. */
 export interface MessageHead {
   startLine: string;
-  /** Bytes up to and including the empty line. */
+  /** Length of the head, including the empty line that ends it. */
   byteLength: number;
-  /** Null: the head names no length. */
+  /** Null if the head has no Content-Length. */
   contentLength: number | null;
   chunked: boolean;
   /** The sender closes the connection after this message. */
   close: boolean;
-  /** The sender waits for an interim answer before it sends the body. */
+  /** The sender waits for `100 Continue` before it sends the body. */
   expectsContinue: boolean;
 }
 
@@ -33,15 +34,16 @@
 function contentLengthOf(head: string): number | null {
   const text = header(head, CONTENT_LENGTH);
   if (text === null) return null;
-  if (!/^\d{1,15}$/.test(text)) throw new MalformedMessageError('content-length');
+  if (!/^\d{1,15}$/.test(text))
+    throw new MalformedMessageError('Content-Length is not a number of up to 15 digits');
   return Number(text);
 }
 
-/** Null while the head is incomplete. */
+/** Parses the head at the start of the bytes; null while it is incomplete. */
 export function parseHead(bytes: Buffer): MessageHead | null {
   const end = bytes.indexOf(HEAD_END);
   if (end < 0) {
-    if (bytes.length > MAX_HEAD_BYTES) throw new MalformedMessageError('head too long');
+    if (bytes.length > MAX_HEAD_BYTES) throw new MalformedMessageError('message head is longer than 16 KiB');
     return null;
   }
   const head = bytes.toString('latin1', 0, end + 2);
@@ -58,17 +60,18 @@
   };
 }
 
-/** Joins the chunks of a chunked body; null while the last one is missing. */
+/** Decodes a chunked body; null while it is incomplete. */
 export function joinChunks(bytes: Buffer): { body: Buffer; byteLength: number } | null {
   const parts: Buffer[] = [];
-  for (let at = 0; ;) {
-    const lineEnd = bytes.indexOf('\r\n', at);
+  for (let offset = 0; ;) {
+    const lineEnd = bytes.indexOf('\r\n', offset);
     if (lineEnd < 0) return null;
-    const size = Number.parseInt(bytes.toString('latin1', at, lineEnd), 16);
-    if (!Number.isInteger(size) || size < 0) throw new MalformedMessageError('chunk size');
+    const size = Number.parseInt(bytes.toString('latin1', offset, lineEnd), 16);
+    if (!Number.isInteger(size) || size < 0)
+      throw new MalformedMessageError('chunk size is not a hexadecimal number');
     const start = lineEnd + 2;
     if (size === 0) {
-      // Trailers, if any, end with an empty line as a head does.
+      // Trailers, if there are any, end with an empty line, as a head does.
       const trailersEnd = bytes.indexOf(HEAD_END, lineEnd);
       return trailersEnd < 0
         ? null
@@ -76,40 +79,40 @@
     }
     if (bytes.length < start + size + 2) return null;
     parts.push(bytes.subarray(start, start + size));
-    at = start + size + 2;
+    offset = start + size + 2;
   }
 }
 
-const REASONS: Record<number, string> = { 200: 'OK', 400: 'Bad Request', 421: 'Misdirected Request' };
+const REASON_PHRASES: Record<number, string> = { 200: 'OK', 400: 'Bad Request', 421: 'Misdirected Request' };
 
-/** A response with a JSON body, head and body in one piece. */
+/** Serializes a response with a JSON body. */
 export function writeResponse(status: number, body: string, close: boolean): string {
   const length = Buffer.byteLength(body);
   const connection = close ? 'Connection: close\r\n' : '';
   return (
-    `HTTP/1.1 ${status} ${REASONS[status] ?? 'Status'}\r\nContent-Type: application/json\r\n` +
+    `HTTP/1.1 ${status} ${REASON_PHRASES[status] ?? 'Status'}\r\nContent-Type: application/json\r\n` +
     `Content-Length: ${length}\r\n${connection}\r\n${body}`
   );
 }
 
-/** How a text may be written: encoding ASCII as Latin-1 spares V8 a second pass over it. */
+/** Encoding in which to write a text to a socket: Latin-1 for ASCII, which saves V8 a second pass over it. */
 export const encodingOf = (text: string): 'latin1' | 'utf8' =>
   Buffer.byteLength(text) === text.length ? 'latin1' : 'utf8';
 
-/** A request, head and body in one piece. */
+/** Serializes a request; the body, if there is one, is JSON. */
 export function writeRequest(method: string, host: string, path: string, body: string | undefined): string {
   const head = `${method} ${path} HTTP/1.1\r\nHost: ${host}\r\n`;
   if (body === undefined) return `${head}\r\n`;
   return `${head}Content-Type: application/json\r\nContent-Length: ${Buffer.byteLength(body)}\r\n\r\n${body}`;
 }
 
-/** Collects one response from a connection's bytes. */
+/** Parses one response from the bytes that arrive on a connection. */
 export class ResponseReader {
   private head: MessageHead | null = null;
   private parts: Buffer[] = [];
   private received = 0;
 
-  /** Takes what arrived; the response once it is whole. */
+  /** Adds received bytes; returns the response once it is complete. */
   read(bytes: Buffer): { status: number; body: string; close: boolean } | null {
     this.parts.push(bytes);
     this.received += bytes.length;
@@ -125,7 +128,7 @@
     return this.result(this.joined().toString('utf8', head.byteLength, head.byteLength + head.contentLength));
   }
 
-  /** The connection ended: a response without a length ends with it. */
+  /** Called when the connection ends, which also ends a response that has no length. */
   end(): { status: number; body: string; close: boolean } | null {
     const { head } = this;
     if (!head || head.chunked || head.contentLength !== null) return null;
--- a/src/io/metrics.ts
+++ b/src/io/metrics.ts
@@ -1,27 +1,29 @@
-/** What a node tells of itself at `GET /metrics`. */
+/** Duration histograms and process figures for `GET /metrics`. */
 import { createHistogram, performance, type RecordableHistogram } from 'node:perf_hooks';
 
+/** Records one duration. */
 export type Measure = (
   what: 'round' | 'write' | 'fold' | 'take_over' | 'answer' | 'question' | 'renewal',
   ms: number,
 ) => void;
 
-const HIGHEST_MS = 120_000;
+const MAX_MS = 120_000;
 const SIGNIFICANT_DIGITS = 2;
 
-/** Times in whole milliseconds, kept as histograms; what takes less than one counts as one. */
+/** Histograms of durations in whole milliseconds; anything shorter than one is recorded as one. */
 export class Metrics {
   private readonly histograms = new Map<string, RecordableHistogram>();
 
   readonly measure: Measure = (what, ms) => {
     let histogram = this.histograms.get(what);
     if (!histogram) {
-      histogram = createHistogram({ lowest: 1, highest: HIGHEST_MS, figures: SIGNIFICANT_DIGITS });
+      histogram = createHistogram({ lowest: 1, highest: MAX_MS, figures: SIGNIFICANT_DIGITS });
       this.histograms.set(what, histogram);
     }
-    histogram.record(Math.max(1, Math.min(HIGHEST_MS, Math.round(ms))));
+    histogram.record(Math.max(1, Math.min(MAX_MS, Math.round(ms))));
   };
 
+  /** Count and percentiles of each histogram that has a value. */
   summarize(): Record<string, object> {
     return Object.fromEntries(
       [...this.histograms].map(([what, histogram]) => [
@@ -42,8 +44,9 @@
 const megabytes = (bytes: number): number => Math.round((bytes / MEGABYTE) * 10) / 10;
 
 /**
- * Processor time and memory of this process since its start. The event loop's utilisation stands for its
- * delay: a delay histogram wakes the process a hundred times a second, which small machines feel.
+ * Processor time since the start of this process, and its memory now. Event loop utilisation is given in
+ * place of event loop delay, because a delay histogram wakes the process a hundred times a second, a load on
+ * small machines.
  */
 export function processMetrics(): object {
   const { user, system } = process.cpuUsage();
--- a/src/io/peers.ts
+++ b/src/io/peers.ts
@@ -1,63 +1,67 @@
+/** Messages between the controllers: statuses, and users' requests passed on to the leader. */
 import net from 'node:net';
 import { Root, type Message } from 'protobufjs/light.js';
 import type { NodeId, SteadyMs } from '../core/types.js';
 import { realClock } from './clock.js';
 import type { Logger } from './logger.js';
 
-/** What a node tells the others about itself, twice a second. */
+/** Status that each node sends to its peers twice a second. */
 export interface PeerStatus {
   node: string;
+  /** Id of the process, to tell it from an earlier one of the same node. */
   run: string;
+  /** The highest term that the node knows. */
   term: number;
   leading: boolean;
-  /** Who leads, or led last, as far as it knows, and under which term; empty: nobody known. */
+  /** The current or last leader that the node knows of, and its term; empty if it knows of none. */
   leader: string;
   leaderTerm: number;
-  /** A take-over of its own is under way. */
   takingOver: boolean;
-  /** How far back its knowledge of terms reaches, in milliseconds. */
+  /** How far back the node's knowledge of terms reaches, in milliseconds. */
   remembersMs: number;
-  /** Workers whose reports reached this node lately. */
+  /** Number of workers whose reports reached this node recently. */
   workers: number;
-  /** Milliseconds since the state service last answered this node. */
+  /** Milliseconds since the state service last answered; of a leader, since its lock was last certain. */
   stateAge: number;
-  /** The state service just answered a question of this node in time. */
+  /** The state service recently answered a request of this node in time. */
   reachesState: boolean;
-  /** It holds the lock, and gets little done at the state service: the others are to see how they fare. */
+  /** Holds the lock but gets little done at the state service; peers are to check their own access to it. */
   inDoubt: boolean;
-  /** It gave the lock away lately because it got too little done at the state service. */
+  /** Gave up the lock recently because it got too little done at the state service. */
   gaveWay: boolean;
 }
 
-/** The last status of a peer, and its age in milliseconds. */
 export interface ReceivedStatus {
   status: PeerStatus;
   ageMs: number;
 }
 
+/** A user's request that is passed on to the leader, or a question about the leader's log. */
 export interface PeerRequest {
-  /** position: how far the leader's log is. */
+  /** `position` asks how far the leader's log goes. */
   kind: 'submit' | 'show' | 'withdraw' | 'position';
   job: string;
-  /** The job as this project knows it, in JSON; only for submissions. */
+  /** JobSpec as JSON; only for submissions. */
   spec?: string;
 }
 
+/** What the user is to be answered: HTTP status, body as JSON text, and seconds for Retry-After. */
 export interface PeerResponse {
   status: number;
-  /** JSON */
   body: string;
   retryAfter: number;
 }
 
+/** The other controllers, as the actors see them. */
 export interface Peers {
+  /** Resolves to null if the node is not connected or does not answer in time. */
   ask(node: string, ask: PeerRequest): Promise<PeerResponse | null>;
-  /** Whether a connection to the node stands. */
   isConnected(node: string): boolean;
-  /** The last status of each peer. */
+  /** The last valid status of each peer. */
   statuses(): ReceivedStatus[];
 }
 
+/** Protocol Buffers schema of the messages; the field numbers must not change. */
 const root = Root.fromJSON({
   nested: {
     Status: {
@@ -108,64 +112,67 @@
 
 interface FrameValue {
   status?: PeerStatus | null;
-  /** With a status: when the question was put, on the clock of who put it; the answer says it again. */
+  /** With a status: when it was sent, by the sender's steady clock. The status in reply repeats the value. */
   asked?: number;
   ask?: ({ id: number } & PeerRequest) | null;
   answer?: ({ id: number } & PeerResponse) | null;
 }
 
-const encode = (f: FrameValue): Buffer => {
-  const body = Frame.encode(Frame.fromObject(f)).finish();
-  const out = Buffer.allocUnsafe(4 + body.length);
-  out.writeUInt32BE(body.length, 0);
-  out.set(body, 4);
-  return out;
+const encode = (frame: FrameValue): Buffer => {
+  const body = Frame.encode(Frame.fromObject(frame)).finish();
+  const bytes = Buffer.allocUnsafe(4 + body.length);
+  bytes.writeUInt32BE(body.length, 0);
+  bytes.set(body, 4);
+  return bytes;
 };
 
-const MOST = 1 << 20;
+const MAX_FRAME_BYTES = 1 << 20;
 
-/** Cuts a stream into frames: four bytes of length, then the message. */
-function reader(onFrame: (f: FrameValue) => void, onBad: () => void): (d: Buffer) => void {
-  let held: Buffer = Buffer.alloc(0);
-  return (d) => {
-    held = held.length === 0 ? d : Buffer.concat([held, d]);
-    while (held.length >= 4) {
-      const n = held.readUInt32BE(0);
-      if (n > MOST) return onBad();
-      if (held.length < 4 + n) return;
-      let f: Message;
+/** Splits a byte stream into frames, each preceded by its length in four bytes (big endian). */
+function frameReader(onFrame: (frame: FrameValue) => void, onInvalid: () => void): (bytes: Buffer) => void {
+  let buffered: Buffer = Buffer.alloc(0);
+  return (bytes) => {
+    buffered = buffered.length === 0 ? bytes : Buffer.concat([buffered, bytes]);
+    while (buffered.length >= 4) {
+      const length = buffered.readUInt32BE(0);
+      if (length > MAX_FRAME_BYTES) return onInvalid();
+      if (buffered.length < 4 + length) return;
+      let frame: Message;
       try {
-        f = Frame.decode(held.subarray(4, 4 + n));
+        frame = Frame.decode(buffered.subarray(4, 4 + length));
       } catch {
-        return onBad();
+        return onInvalid();
       }
-      held = held.subarray(4 + n);
-      onFrame(f as unknown as FrameValue);
+      buffered = buffered.subarray(4 + length);
+      onFrame(frame as unknown as FrameValue);
     }
   };
 }
 
-/** Whether a status says something: one that was made up or damaged must prove nothing and extend nothing. */
+/** Whether all numbers of a status are valid; a corrupt one must not prove or extend anything. */
 export const isValidStatus = (status: PeerStatus): boolean =>
   [status.term, status.leaderTerm].every((term) => Number.isSafeInteger(term) && term >= 0) &&
   [status.remembersMs, status.stateAge, status.workers].every((amount) => amount >= 0 && amount < Infinity);
 
-const ASK_MS = 1500;
-const SILENT_MS = 2500;
+const REQUEST_TIMEOUT_MS = 1500;
+/** A connection on which nothing arrives for this long is closed and opened anew. */
+const SILENCE_TIMEOUT_MS = 2500;
 
+/** Connects to every peer, exchanges statuses with it twice a second, and sends and answers requests. */
 export class PeerLinks implements Peers {
-  private readonly known = new Map<string, { status: PeerStatus; at: number }>();
-  private readonly open = new Map<string, net.Socket>();
-  private readonly waiting = new Map<number, { on: net.Socket; end: (a: PeerResponse | null) => void }>();
+  private readonly lastStatuses = new Map<string, { status: PeerStatus; at: number }>();
+  private readonly connections = new Map<string, net.Socket>();
+  private readonly pending = new Map<number, { via: net.Socket; settle: (r: PeerResponse | null) => void }>();
   private nextId = 1;
 
   constructor(
-    private readonly listen: { host: string; port: number },
+    private readonly listenAddress: { host: string; port: number },
     private readonly peers: { node: NodeId; host: string; port: number }[],
-    private readonly mine: () => PeerStatus,
-    private readonly on: {
-      ask: (a: PeerRequest) => Promise<PeerResponse>;
-      status: (s: PeerStatus, asked?: SteadyMs) => void;
+    private readonly ownStatus: () => PeerStatus,
+    private readonly handlers: {
+      ask: (request: PeerRequest) => Promise<PeerResponse>;
+      /** Takes a peer's status; `asked`: when this node sent the status that it replies to. */
+      status: (status: PeerStatus, asked?: SteadyMs) => void;
     },
     private readonly log: Logger,
   ) {}
@@ -176,115 +183,118 @@
   stop(): void {
     this.stopped = true;
     this.server?.close();
-    for (const s of this.sockets) s.destroy();
+    for (const socket of this.sockets) socket.destroy();
   }
   private readonly sockets = new Set<net.Socket>();
 
   start(): void {
-    const server = net.createServer((s) => {
-      this.sockets.add(s);
-      s.on('close', () => this.sockets.delete(s));
-      s.setNoDelay(true);
-      s.setTimeout(10_000, () => s.destroy());
-      s.on('error', () => s.destroy());
-      s.on(
+    const server = net.createServer((socket) => {
+      this.sockets.add(socket);
+      socket.on('close', () => this.sockets.delete(socket));
+      socket.setNoDelay(true);
+      socket.setTimeout(10_000, () => socket.destroy());
+      socket.on('error', () => socket.destroy());
+      socket.on(
         'data',
-        reader(
-          (f) => {
-            if (f.status) {
-              this.heard(f.status);
-              s.write(encode({ status: this.mine(), asked: f.asked }));
+        frameReader(
+          (frame) => {
+            if (frame.status) {
+              this.handleStatus(frame.status);
+              socket.write(encode({ status: this.ownStatus(), asked: frame.asked }));
             }
-            if (f.ask) {
-              const { id, ...ask } = f.ask;
-              void this.on.ask(ask).then((a) => {
-                if (!s.destroyed) s.write(encode({ answer: { id, ...a } }));
+            if (frame.ask) {
+              const { id, ...request } = frame.ask;
+              void this.handlers.ask(request).then((response) => {
+                if (!socket.destroyed) socket.write(encode({ answer: { id, ...response } }));
               });
             }
           },
-          () => s.destroy(),
+          () => socket.destroy(),
         ),
       );
     });
-    server.on('error', (e) => this.log.error({ err: e.message }, 'peer listener'));
+    server.on('error', (error) => this.log.error({ err: error.message }, 'the listener for peers failed'));
     this.server = server;
-    server.listen(this.listen.port, this.listen.host);
-    for (const p of this.peers) this.dial(p);
+    server.listen(this.listenAddress.port, this.listenAddress.host);
+    for (const peer of this.peers) this.dial(peer);
   }
 
-  private heard(s: PeerStatus, asked?: SteadyMs): void {
-    if (!this.peers.some(({ node }) => node === s.node) || !isValidStatus(s)) return this.noteUnsound(s);
-    this.known.set(s.node, { status: s, at: realClock.steady() });
-    this.on.status(s, asked);
+  private handleStatus(received: PeerStatus, asked?: SteadyMs): void {
+    if (!this.peers.some(({ node }) => node === received.node) || !isValidStatus(received))
+      return this.logInvalid(received);
+    this.lastStatuses.set(received.node, { status: received, at: realClock.steady() });
+    this.handlers.status(received, asked);
   }
 
-  private noteUnsound(status: PeerStatus): void {
-    if (this.hasHeardUnsound) return;
-    this.hasHeardUnsound = true;
+  private logInvalid(status: PeerStatus): void {
+    if (this.hasLoggedInvalidStatus) return;
+    this.hasLoggedInvalidStatus = true;
     this.log.error({ status }, 'a status of a controller can not be read');
   }
-  private hasHeardUnsound = false;
+  private hasLoggedInvalidStatus = false;
 
-  private dial(p: { node: NodeId; host: string; port: number }): void {
-    const s = net.connect({ host: p.host, port: p.port, noDelay: true });
-    this.sockets.add(s);
-    let last = realClock.steady();
-    const ask = (): void => void s.write(encode({ status: this.mine(), asked: realClock.steady() }));
-    const tick = setInterval(() => {
-      if (realClock.steady() - last > SILENT_MS) s.destroy();
-      else if (!s.connecting) ask();
+  /** Connects to a peer, exchanges statuses with it, and connects again after the connection is lost. */
+  private dial(peer: { node: NodeId; host: string; port: number }): void {
+    const socket = net.connect({ host: peer.host, port: peer.port, noDelay: true });
+    this.sockets.add(socket);
+    let lastReceivedAt = realClock.steady();
+    const send = (): void =>
+      void socket.write(encode({ status: this.ownStatus(), asked: realClock.steady() }));
+    const interval = setInterval(() => {
+      if (realClock.steady() - lastReceivedAt > SILENCE_TIMEOUT_MS) socket.destroy();
+      else if (!socket.connecting) send();
     }, 500);
-    s.on('connect', () => {
-      last = realClock.steady();
-      this.open.set(p.node, s);
-      ask();
+    socket.on('connect', () => {
+      lastReceivedAt = realClock.steady();
+      this.connections.set(peer.node, socket);
+      send();
     });
-    s.on(
+    socket.on(
       'data',
-      reader(
-        (f) => {
-          last = realClock.steady();
-          if (f.status) this.heard(f.status, f.asked as SteadyMs);
-          if (f.answer) {
-            const { id, ...a } = f.answer;
-            this.waiting.get(id)?.end(a);
+      frameReader(
+        (frame) => {
+          lastReceivedAt = realClock.steady();
+          if (frame.status) this.handleStatus(frame.status, frame.asked as SteadyMs);
+          if (frame.answer) {
+            const { id, ...response } = frame.answer;
+            this.pending.get(id)?.settle(response);
           }
         },
-        () => s.destroy(),
+        () => socket.destroy(),
       ),
     );
-    s.on('error', () => s.destroy());
-    s.on('close', () => {
-      clearInterval(tick);
-      this.sockets.delete(s);
-      if (this.open.get(p.node) === s) this.open.delete(p.node);
-      for (const w of [...this.waiting.values()]) if (w.on === s) w.end(null);
-      if (!this.stopped) setTimeout(() => this.dial(p), 500);
+    socket.on('error', () => socket.destroy());
+    socket.on('close', () => {
+      clearInterval(interval);
+      this.sockets.delete(socket);
+      if (this.connections.get(peer.node) === socket) this.connections.delete(peer.node);
+      for (const request of [...this.pending.values()]) if (request.via === socket) request.settle(null);
+      if (!this.stopped) setTimeout(() => this.dial(peer), 500);
     });
   }
 
-  ask(node: string, ask: PeerRequest): Promise<PeerResponse | null> {
-    const s = this.open.get(node);
-    if (!s) return Promise.resolve(null);
+  ask(node: string, request: PeerRequest): Promise<PeerResponse | null> {
+    const socket = this.connections.get(node);
+    if (!socket) return Promise.resolve(null);
     const id = this.nextId++ >>> 0;
     return new Promise((resolve) => {
-      const end = (a: PeerResponse | null): void => {
+      const settle = (response: PeerResponse | null): void => {
         clearTimeout(timer);
-        this.waiting.delete(id);
-        resolve(a);
+        this.pending.delete(id);
+        resolve(response);
       };
-      const timer = setTimeout(() => end(null), ASK_MS);
-      this.waiting.set(id, { on: s, end });
-      s.write(encode({ ask: { id, ...ask } }));
+      const timer = setTimeout(() => settle(null), REQUEST_TIMEOUT_MS);
+      this.pending.set(id, { via: socket, settle });
+      socket.write(encode({ ask: { id, ...request } }));
     });
   }
 
   isConnected(node: string): boolean {
-    return this.open.has(node);
+    return this.connections.has(node);
   }
 
   statuses(): ReceivedStatus[] {
     const now = realClock.steady();
-    return [...this.known.values()].map((k) => ({ status: k.status, ageMs: now - k.at }));
+    return [...this.lastStatuses.values()].map((last) => ({ status: last.status, ageMs: now - last.at }));
   }
 }
