--- a/src/cli/jobs.ts
+++ b/src/cli/jobs.ts
@@ -1,4 +1,4 @@
-/** The commands that ask a node about jobs, and the one that shows what the state service holds. */
+/** The `job` commands, which send requests to a node, and `log`, which prints what the state service holds. */
 import { readFileSync } from 'node:fs';
 import type { Command } from 'commander';
 import { stateFromChunks } from '../actors/snapshot.js';
@@ -17,83 +17,101 @@
 import type { Settings } from '../wire/settings.js';
 import { StateServiceClient } from '../wire/store.js';
 
-/** Exit codes that scripts can use. */
-export const EXIT = { ok: 0, refused: 1, usage: 2, unknown: 3, later: 4 } as const;
+/** Exit codes for scripts; `later`: the same request may succeed at another time or node. */
+export const EXIT_CODES = { ok: 0, refused: 1, usage: 2, unknown: 3, later: 4 } as const;
 
-const exitOf = (a: HttpResponse | null): number => {
-  if (!a || a.status === 429 || a.status >= 500) return EXIT.later;
-  if (a.status === 404) return EXIT.unknown;
-  return a.status < 300 ? EXIT.ok : EXIT.refused;
+const exitCodeOf = (response: HttpResponse | null): number => {
+  if (!response || response.status === 429 || response.status >= 500) return EXIT_CODES.later;
+  if (response.status === 404) return EXIT_CODES.unknown;
+  return response.status < 300 ? EXIT_CODES.ok : EXIT_CODES.refused;
 };
 
-function tell(a: HttpResponse | null, json: boolean): void {
-  const body = (a?.body ?? {}) as { name_id?: string; standing?: string; done?: number; error?: string };
-  if (json) process.stdout.write(`${JSON.stringify({ status: a?.status ?? null, ...body })}\n`);
-  else if (!a) process.stdout.write('no answer: ask another node, or again later\n');
+/** Prints the response and sets the exit code. */
+function printResponse(response: HttpResponse | null, json: boolean): void {
+  const body = (response?.body ?? {}) as {
+    name_id?: string;
+    standing?: string;
+    done?: number;
+    error?: string;
+  };
+  if (json) process.stdout.write(`${JSON.stringify({ status: response?.status ?? null, ...body })}\n`);
+  else if (!response) process.stdout.write('no answer: ask another node, or again later\n');
   else if (body.standing)
     process.stdout.write(
       `${body.name_id}: ${body.standing}${body.done === undefined ? '' : `, ${body.done} tasks done`}\n`,
     );
-  else process.stdout.write(`${a.status}: ${body.error ?? 'no reason given'}\n`);
-  process.exitCode = exitOf(a);
+  else process.stdout.write(`${response.status}: ${body.error ?? 'no reason given'}\n`);
+  process.exitCode = exitCodeOf(response);
 }
 
-interface Common {
+/** Options of all `job` commands. */
+interface JobOptions {
   node: string;
   json?: boolean;
 }
 
-const ask = (o: Common, method: 'GET' | 'POST', path: string, body?: unknown): Promise<void> =>
-  createHttpCall()(o.node, method, path, body, 5000).then((a) => {
-    tell(a, o.json === true);
+/** Sends one request, prints the response and exits. */
+const sendRequest = (
+  options: JobOptions,
+  method: 'GET' | 'POST',
+  path: string,
+  body?: unknown,
+): Promise<void> =>
+  createHttpCall()(options.node, method, path, body, 5000).then((response) => {
+    printResponse(response, options.json === true);
     process.exit();
   });
 
+/** Adds `job submit`, `job show` and `job cancel` to the program. */
 export function registerJobCommands(program: Command): void {
   const job = program.command('job').description('submit, show and cancel jobs at any node');
-  const common = (c: Command): Command =>
-    c.requiredOption('--node <host:port>', 'a node').option('--json', 'answer in JSON');
-  common(job.command('submit <file>').description('submit a job (JSON as in the interface)')).action(
-    (file: string, o: Common) => ask(o, 'POST', '/v1/jobs', JSON.parse(readFileSync(file, 'utf8'))),
+  const withOptions = (command: Command): Command =>
+    command
+      .requiredOption('--node <host:port>', 'address of any node')
+      .option('--json', 'print the answer as JSON');
+  withOptions(job.command('submit <file>').description('submit a job (JSON as in POST /v1/jobs)')).action(
+    (file: string, options: JobOptions) =>
+      sendRequest(options, 'POST', '/v1/jobs', JSON.parse(readFileSync(file, 'utf8'))),
   );
-  common(job.command('show <id>').description('the state of a job')).action((id: string, o: Common) =>
-    ask(o, 'GET', `/v1/jobs/${encodeURIComponent(id)}`),
+  withOptions(job.command('show <id>').description('show the state of a job')).action(
+    (id: string, options: JobOptions) => sendRequest(options, 'GET', `/v1/jobs/${encodeURIComponent(id)}`),
   );
-  common(job.command('cancel <id>').alias('withdraw').description('cancel a job')).action(
-    (id: string, o: Common) => ask(o, 'POST', `/v1/jobs/${encodeURIComponent(id)}/withdraw`, {}),
+  withOptions(job.command('cancel <id>').alias('withdraw').description('cancel a job')).action(
+    (id: string, options: JobOptions) =>
+      sendRequest(options, 'POST', `/v1/jobs/${encodeURIComponent(id)}/withdraw`, {}),
   );
 }
 
-/** A read-only view of what the state service holds. */
+/** Prints the leader, the snapshot and the records that the state service holds; changes nothing. */
 export async function printLog(settings: Settings, json: boolean): Promise<void> {
-  const store = new StateServiceClient(createHttpCall(), settings.external.state);
-  const all = await store.list(ROOT_PREFIX, null);
+  const stateService = new StateServiceClient(createHttpCall(), settings.external.state);
+  const all = await stateService.list(ROOT_PREFIX, null);
   if (!all) {
     process.stderr.write('quillhead: the state service does not answer\n');
-    process.exit(EXIT.later);
+    process.exit(EXIT_CODES.later);
   }
-  const at = new Map(all.items.map((i) => [i.key, i.value]));
-  const head = at.get(SNAPSHOT_HEAD_KEY) as SnapshotHead | undefined;
+  const values = new Map(all.items.map((item) => [item.key, item.value]));
+  const head = values.get(SNAPSHOT_HEAD_KEY) as SnapshotHead | undefined;
   const records = all.items
-    .filter((i) => i.key.startsWith(RECORD_PREFIX))
-    .map((i) => ({ no: recordNumberOf(i.key), ...(i.value as LogRecord) }));
-  const folded = head ? stateFromChunks(at, head) : null;
+    .filter((item) => item.key.startsWith(RECORD_PREFIX))
+    .map((item) => ({ no: recordNumberOf(item.key), ...(item.value as LogRecord) }));
+  const restored = head ? stateFromChunks(values, head) : null;
   if (json) {
-    const snapshot = folded ? dumpState(folded) : null;
+    const snapshot = restored ? dumpState(restored) : null;
     process.stdout.write(
-      `${JSON.stringify({ leader: at.get(LEADER_KEY) ?? null, term: at.get(TERM_KEY) ?? null, head: head ?? null, snapshot, records })}\n`,
+      `${JSON.stringify({ leader: values.get(LEADER_KEY) ?? null, term: values.get(TERM_KEY) ?? null, head: head ?? null, snapshot, records })}\n`,
     );
   } else {
-    const leader = at.get(LEADER_KEY) as { node: string; term: number } | undefined;
+    const leader = values.get(LEADER_KEY) as { node: string; term: number } | undefined;
     process.stdout.write(`leader: ${leader ? `${leader.node}, term ${leader.term}` : 'none'}\n`);
-    if (folded)
+    if (restored)
       process.stdout.write(
-        `snapshot up to record ${head!.upto}: ${folded.jobs.size} jobs, ${folded.outcomes.size} over, ${folded.machines.size} machines\n`,
+        `snapshot up to record ${head!.upto}: ${restored.jobs.size} jobs, ${restored.outcomes.size} over, ${restored.machines.size} machines\n`,
       );
-    for (const r of records)
+    for (const record of records)
       process.stdout.write(
-        `${r.no} term ${r.term} ${new Date(r.at).toISOString()} ${r.entries.map((e) => JSON.stringify(e)).join(' ')}\n`,
+        `${record.no} term ${record.term} ${new Date(record.at).toISOString()} ${record.entries.map((entry) => JSON.stringify(entry)).join(' ')}\n`,
       );
   }
-  process.exit(EXIT.ok);
+  process.exit(EXIT_CODES.ok);
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,3 +1,4 @@
+/** The `quillhead` program: assembles a controller node from the settings and runs the commands. */
 import { randomInt, randomUUID } from 'node:crypto';
 import { readFileSync } from 'node:fs';
 import { promisify } from 'node:util';
@@ -22,10 +23,11 @@
 import { stubHttpCall, exerciseController } from './warm.js';
 import { StateServiceClient } from '../wire/store.js';
 
-function load(file: string): Settings {
+function loadSettings(file: string): Settings {
   return readSettings(JSON.parse(readFileSync(file, 'utf8')));
 }
 
+/** Options that name configuration files. */
 interface Files {
   config: string;
   policy?: string;
@@ -33,21 +35,22 @@
 
 const policyOf = async (o: Files): Promise<Policy> => (o.policy ? readPolicy(o.policy) : defaultPolicy);
 
-function fail(e: unknown): never {
-  process.stderr.write(`quillhead: ${e instanceof Error ? e.message : String(e)}\n`);
+function fail(error: unknown): never {
+  process.stderr.write(`quillhead: ${error instanceof Error ? error.message : String(error)}\n`);
   process.exit(2);
 }
 
-function assemble(settings: Settings, policy: Policy, caller?: HttpCall) {
+/** Creates a node's parts without starting them; `httpCall` replaces the real HTTP client. */
+function createNode(settings: Settings, policy: Policy, httpCall?: HttpCall) {
   const logger = pino(
     { level: process.env.LOG_LEVEL ?? 'info', base: { node: settings.node } },
     pino.destination({ dest: 2, sync: true }),
   );
-  const rng = xoroshiro128plus(randomInt(0x7fffffff));
-  // Connections kept for later leave a fifth of the sockets to users, peers and what comes new.
-  let served = 0;
-  const sockets = settings.cluster.machine_limits.sockets;
-  const call = caller ?? createHttpCall((mine) => served + mine < sockets * 0.8);
+  const generator = xoroshiro128plus(randomInt(0x7fffffff));
+  // Idle outgoing connections leave a fifth of the sockets to users, peers and new connections.
+  let incoming = 0;
+  const maxSockets = settings.cluster.machine_limits.sockets;
+  const call = httpCall ?? createHttpCall((outgoing) => incoming + outgoing < maxSockets * 0.8);
   const metrics = new Metrics();
   const controller = new Controller(
     {
@@ -55,7 +58,7 @@
       store: new StateServiceClient(call, settings.external.state),
       cloud: new CloudClient(call, settings.external.cloud),
       call,
-      random: { intBelow: (n) => uniformInt(rng, 0, n - 1) },
+      random: { intBelow: (n) => uniformInt(generator, 0, n - 1) },
       logger,
       settings,
       policy,
@@ -66,11 +69,11 @@
   );
   const links = new PeerLinks(
     parseHostPort(settings.back),
-    settings.seeds.map((p) => ({ node: p.node as NodeId, ...parseHostPort(p.peer_addr) })),
+    settings.seeds.map((seed) => ({ node: seed.node as NodeId, ...parseHostPort(seed.peer_addr) })),
     () => controller.status(),
     {
-      ask: (a) => controller.requests.answerPeer(a),
-      status: (s, asked) => controller.handlePeerStatus(s, asked),
+      ask: (request) => controller.requests.answerPeer(request),
+      status: (status, asked) => controller.handlePeerStatus(status, asked),
     },
     logger,
   );
@@ -85,15 +88,16 @@
     logger,
     metrics.measure,
   );
-  http.on('connection', (s) => {
-    served++;
-    s.once('close', () => served--);
+  http.on('connection', (socket) => {
+    incoming++;
+    socket.once('close', () => incoming--);
   });
   return { logger, controller, links, http };
 }
 
+/** Runs a controller node. */
 async function serve(settings: Settings, policy: Policy): Promise<void> {
-  const { logger, controller, links, http } = assemble(settings, policy);
+  const { logger, controller, links, http } = createNode(settings, policy);
   links.start();
   const { host, port } = parseHostPort(settings.serve_on);
   http.on('error', fail);
@@ -103,7 +107,7 @@
 
 const WARM_EXIT_MS = 5000;
 
-/** Builds what a start builds and goes through what a controller does, without calling anybody. */
+/** Creates a node and runs its usual operations against stubs, to fill the build's code cache. */
 async function warm(): Promise<void> {
   const settings = readSettings({
     node: 'warm',
@@ -120,10 +124,10 @@
       cloud: { rps: 3, list_lag_s: 10 },
     },
   });
-  const { http, controller } = assemble(settings, defaultPolicy, stubHttpCall);
+  const { http, controller } = createNode(settings, defaultPolicy, stubHttpCall);
   http.close();
   await exerciseController(controller);
-  // The build ends the process itself, once it has kept what was compiled.
+  // The build ends the process itself once it has written the code cache.
   setTimeout(() => process.exit(0), WARM_EXIT_MS);
 }
 
@@ -133,31 +137,31 @@
 program
   .command('serve', { isDefault: true })
   .description('run one controller node')
-  .requiredOption('--config <file>', "the platform's settings (JSON)")
-  .option('--policy <file>', "the operators' policy (a CEL expression)")
-  .action(async (o: Files) => serve(load(o.config), await policyOf(o)));
+  .requiredOption('--config <file>', "the platform's settings file (JSON)")
+  .option('--policy <file>', "the operators' policy file (a CEL expression)")
+  .action(async (files: Files) => serve(loadSettings(files.config), await policyOf(files)));
 program
   .command('check')
   .description("check the platform's settings and the operators' policy")
-  .requiredOption('--config <file>', "the platform's settings (JSON)")
-  .option('--policy <file>', "the operators' policy (a CEL expression)")
-  .action(async (o: Files) => {
-    load(o.config);
+  .requiredOption('--config <file>', "the platform's settings file (JSON)")
+  .option('--policy <file>', "the operators' policy file (a CEL expression)")
+  .action(async (files: Files) => {
+    loadSettings(files.config);
     process.stdout.write('settings: ok\n');
-    if (o.policy) {
-      await policyOf(o);
+    if (files.policy) {
+      await policyOf(files);
       process.stdout.write('policy: ok\n');
     }
   });
 program
   .command('log')
   .description('show the records and the snapshot in the state service')
-  .requiredOption('--config <file>', "the platform's settings (JSON)")
-  .option('--json', 'in JSON')
-  .action((o: Files & { json?: boolean }) => printLog(load(o.config), o.json === true));
+  .requiredOption('--config <file>', "the platform's settings file (JSON)")
+  .option('--json', 'print JSON')
+  .action((files: Files & { json?: boolean }) => printLog(loadSettings(files.config), files.json === true));
 registerJobCommands(program);
 program
   .command('warm', { hidden: true })
-  .description('used by the build: goes once through what a start goes through')
+  .description('used by the build: runs the usual operations of a node once, for the code cache')
   .action(warm);
 program.parseAsync().catch(fail);
--- a/src/cli/policy.ts
+++ b/src/cli/policy.ts
@@ -1,14 +1,16 @@
+/** Policy files: one CEL expression, evaluated for a machine or a job, whose value is a map of settings. */
 import { readFileSync } from 'node:fs';
 import * as z from 'zod';
 import { defaultPolicy, type Policy } from '../core/policy.js';
 import type { JobSpec } from '../core/types.js';
 
-const result = z.strictObject({
+const resultSchema = z.strictObject({
   idle_s: z.number().min(0).max(3600).optional(),
   rent_spot: z.boolean().optional(),
   silence_s: z.number().min(7).max(60).optional(),
 });
 
+/** Variables of a policy and their CEL types. */
 const variables = {
   machine_type: 'string',
   machine_zone: 'string',
@@ -21,9 +23,10 @@
   job_checkpoint_s: 'double',
 } as const;
 
-type Vars = Record<keyof typeof variables, string | boolean | number>;
+type Variables = Record<keyof typeof variables, string | boolean | number>;
 
-const none: Vars = {
+/** Values of the variables that do not apply, such as those of a job when a machine is asked about. */
+const unset: Variables = {
   machine_type: '',
   machine_zone: '',
   machine_spot: false,
@@ -35,62 +38,65 @@
   job_checkpoint_s: 0,
 };
 
-interface Fault {
+/** What is used of an error of the CEL library. */
+interface CelError {
   message: string;
   summary?: string;
   range?: { start: number };
 }
 
-function where(file: string, text: string, e: Fault): Error {
-  const before = text.slice(0, e.range?.start ?? 0).split('\n');
-  const line = before.length;
-  const column = before[before.length - 1]!.length + 1;
-  return new Error(`${file}:${line}:${column}: ${e.summary ?? e.message.split('\n')[0]}`);
+/** Adds file, line and column to an error. */
+function withPosition(file: string, text: string, error: CelError): Error {
+  const linesBefore = text.slice(0, error.range?.start ?? 0).split('\n');
+  const line = linesBefore.length;
+  const column = linesBefore[linesBefore.length - 1]!.length + 1;
+  return new Error(`${file}:${line}:${column}: ${error.summary ?? error.message.split('\n')[0]}`);
 }
 
-/** Reads a policy: one CEL expression whose value is a map of settings. */
+/** Reads and checks a policy; settings that its value leaves out have their defaults. */
 export async function readPolicy(file: string, text = readFileSync(file, 'utf8')): Promise<Policy> {
-  // Most nodes have no policy file, and starting costs them enough without this library.
+  // Loaded on demand: most nodes have no policy file, and the library would slow their start.
   const { Environment } = await import('@marcbachmann/cel-js');
-  const env = new Environment({ homogeneousAggregateLiterals: false });
-  for (const [name, type] of Object.entries(variables)) env.registerVariable(name, type);
-  const checked = env.check(text);
-  if (!checked.valid) throw where(file, text, checked.error as unknown as Fault);
-  const run = env.parse(text);
-  const seen = new Map<string, z.infer<typeof result>>();
-  const value = (vars: Vars): z.infer<typeof result> => {
-    const key = JSON.stringify(vars);
-    const known = seen.get(key);
+  const environment = new Environment({ homogeneousAggregateLiterals: false });
+  for (const [name, type] of Object.entries(variables)) environment.registerVariable(name, type);
+  const checked = environment.check(text);
+  if (!checked.valid) throw withPosition(file, text, checked.error as unknown as CelError);
+  const expression = environment.parse(text);
+  const results = new Map<string, z.infer<typeof resultSchema>>();
+  const evaluate = (values: Variables): z.infer<typeof resultSchema> => {
+    const key = JSON.stringify(values);
+    const known = results.get(key);
     if (known) return known;
-    const r = result.safeParse(run(vars));
-    if (!r.success) {
-      const i = r.error.issues[0]!;
-      throw new Error(`${file}: ${i.path.join('.') || 'policy'}: ${i.message}`);
+    const parsed = resultSchema.safeParse(expression(values));
+    if (!parsed.success) {
+      const issue = parsed.error.issues[0]!;
+      throw new Error(`${file}: ${issue.path.join('.') || 'policy'}: ${issue.message}`);
     }
-    seen.set(key, r.data);
-    return r.data;
+    results.set(key, parsed.data);
+    return parsed.data;
   };
-  // A wrong name or type shows with any values; better at the start than in the night.
-  value(none);
-  value({ ...none, machine_spot: true });
-  const ofMachine = (m: Parameters<Policy['idleTimeoutS']>[0]): Vars => ({
-    ...none,
-    machine_type: m.type?.name ?? '',
-    machine_zone: m.zone,
-    machine_spot: m.spot,
-    machine_cpus: m.type?.cpus ?? 0,
-    machine_price: m.type ? (m.spot ? m.type.spotPrice : m.type.price) : 0,
+  // A wrong name or type of a setting shows with any values, so it is reported at the start.
+  evaluate(unset);
+  evaluate({ ...unset, machine_spot: true });
+  const ofMachine = (machine: Parameters<Policy['idleTimeoutS']>[0]): Variables => ({
+    ...unset,
+    machine_type: machine.type?.name ?? '',
+    machine_zone: machine.zone,
+    machine_spot: machine.spot,
+    machine_cpus: machine.type?.cpus ?? 0,
+    machine_price: machine.type ? (machine.spot ? machine.type.spotPrice : machine.type.price) : 0,
   });
-  const ofJob = (s: JobSpec): Vars => ({
-    ...none,
-    job_class: s.class,
-    job_team: s.team,
-    job_priority: s.priority,
-    job_checkpoint_s: s.checkpoint,
+  const ofJob = (spec: JobSpec): Variables => ({
+    ...unset,
+    job_class: spec.class,
+    job_team: spec.team,
+    job_priority: spec.priority,
+    job_checkpoint_s: spec.checkpoint,
   });
   return {
-    idleTimeoutS: (m) => value(ofMachine(m)).idle_s ?? defaultPolicy.idleTimeoutS(m),
-    rentSpot: (s) => value(ofJob(s)).rent_spot ?? defaultPolicy.rentSpot(s),
-    silenceTimeoutS: (m) => value(ofMachine(m)).silence_s ?? defaultPolicy.silenceTimeoutS(m),
+    idleTimeoutS: (machine) => evaluate(ofMachine(machine)).idle_s ?? defaultPolicy.idleTimeoutS(machine),
+    rentSpot: (spec) => evaluate(ofJob(spec)).rent_spot ?? defaultPolicy.rentSpot(spec),
+    silenceTimeoutS: (machine) =>
+      evaluate(ofMachine(machine)).silence_s ?? defaultPolicy.silenceTimeoutS(machine),
   };
 }
--- a/src/cli/warm.ts
+++ b/src/cli/warm.ts
@@ -1,7 +1,7 @@
 /**
- * What the build runs once so that V8's code cache holds the program compiled: a controller that takes the
- * lead, rents machines, hears reports and runs a job, with every call answered inside the process. A
- * function that is not in the cache costs a controller on a small share of a core its first call twice over.
+ * Run once by the build so that V8's code cache holds the compiled program: a controller takes the lead,
+ * rents machines, receives reports and runs a job, with every request answered inside the process. On a small
+ * share of a core, the first call of a function that is not in the cache takes twice as long.
  */
 import type { Controller } from '../actors/controller.js';
 import type { JobId } from '../core/types.js';
@@ -16,15 +16,15 @@
 
 const ok = (body: object): HttpResponse => ({ status: 200, body });
 
-const flavors = {
+const machineTypes = {
   breeds: [
     { sku: 'box', cpus: 8, mem_gb: 32, local_gb: 50, pull_gb_per_s: 1, price: 1, ready_s: 1, yards: ['a'] },
   ],
 };
 
-/** A state service and a cloud that agree to everything. */
+/** Stands for a state service and a cloud that accept every request. */
 export const stubHttpCall: HttpCall = async (_address, method, path) => {
-  if (path === '/flavors') return ok(flavors);
+  if (path === '/flavors') return ok(machineTypes);
   if (path === '/hosts' && method === 'POST') return ok({ mounts: MACHINES });
   if (path.startsWith('/hosts')) return ok({ mounts: [], truncated: false });
   if (path === '/txn') return ok({ ledger: 1 });
@@ -34,24 +34,25 @@
   return { status: 404, body: { ledger: 1 } };
 };
 
-const job = (number: number): unknown => ({
+const submission = (number: number): unknown => ({
   ...{ name_id: `wk-${number}`, duty: 'any', desk: 'team', shape: number === 1 ? 'ensemble' : 'array' },
   ...{ urgency: 'standard', shifts: 2, cpus: 2, accelerators: 0, mem_gb: 1, kit: 'image', image_gb: 0.1 },
   ...{ together: number === 1, spread: false, loaners: true, reckon_s: 1, waymark_s: 0, stow_s: 0 },
 });
 
-interface Order {
+/** A command as the protocol writes it. */
+interface WireCommand {
   verb: string;
   shift: string;
   try: number;
 }
 
-/** A worker that does at once whatever it is told. */
-class WarmWorker {
+/** A worker that finishes every task as soon as it is told to start it. */
+class StubWorker {
   private readonly reader = new ReportReader();
   private readonly tasks = new Map<string, object>();
   private sequence = 0;
-  private token = 0;
+  private fencingToken = 0;
 
   constructor(private readonly machine: string) {}
 
@@ -65,42 +66,47 @@
         loaners: false,
         stint: 1,
       },
-      ...{ tally: ++this.sequence, warrant: this.token, recall_s: null, shifts: [...this.tasks.values()] },
+      ...{
+        tally: ++this.sequence,
+        warrant: this.fencingToken,
+        recall_s: null,
+        shifts: [...this.tasks.values()],
+      },
     });
     const report = this.reader.read(text);
-    if (!report) throw new Error('a report that is none');
-    controller.handleReport(report, (answer) => {
-      if (answer.kind !== 'commands') return;
+    if (!report) throw new Error('the stub worker wrote a malformed report');
+    controller.handleReport(report, (outcome) => {
+      if (outcome.kind !== 'commands') return;
       const { warrant, orders } = JSON.parse(
-        writeReportAnswerJson(answer.term, answer.fence, answer.commands),
+        writeReportAnswerJson(outcome.term, outcome.fence, outcome.commands),
       ) as {
         warrant: number;
-        orders: Order[];
+        orders: WireCommand[];
       };
-      this.token = warrant;
-      for (const order of orders) this.execute(order);
+      this.fencingToken = warrant;
+      for (const command of orders) this.execute(command);
     });
   }
 
-  private execute(order: Order): void {
-    const key = `${order.shift}#${order.try}`;
-    if (order.verb === 'clear') this.tasks.delete(key);
-    else this.tasks.set(key, { shift: order.shift, try: order.try, standing: 'ended', cause: 'done' });
+  private execute(command: WireCommand): void {
+    const key = `${command.shift}#${command.try}`;
+    if (command.verb === 'clear') this.tasks.delete(key);
+    else this.tasks.set(key, { shift: command.shift, try: command.try, standing: 'ended', cause: 'done' });
   }
 }
 
-const sleep = (ms: number): Promise<void> => new Promise((done) => setTimeout(done, ms));
+const sleep = (ms: number): Promise<void> => new Promise((resolve) => setTimeout(resolve, ms));
 
-/** Goes through what a controller does most, once. */
+/** Runs the usual operations of a controller: submissions, queries, reports and a cancellation. */
 export async function exerciseController(controller: Controller): Promise<void> {
-  const workers = MACHINES.map((machine) => new WarmWorker(machine));
+  const workers = MACHINES.map((machine) => new StubWorker(machine));
   void controller.start({ ask: async () => null, isConnected: () => true, statuses: () => [] });
   for (let step = 0; step < STEPS; step++) {
     await sleep(STEP_MS);
-    const read = readJob(job((step % JOBS) + 1));
-    if ('error' in read) throw new Error(read.error);
-    void controller.requests.answer({ kind: 'submit', job: read.spec.id, spec: read.spec });
-    void controller.requests.answer({ kind: 'show', job: read.spec.id });
+    const parsed = readJob(submission((step % JOBS) + 1));
+    if ('error' in parsed) throw new Error(parsed.error);
+    void controller.requests.answer({ kind: 'submit', job: parsed.spec.id, spec: parsed.spec });
+    void controller.requests.answer({ kind: 'show', job: parsed.spec.id });
     controller.isReady();
     controller.status();
     for (const worker of workers) worker.report(controller);
