--- a/test/policy.test.ts
+++ b/test/policy.test.ts
@@ -3,14 +3,14 @@
 import { box } from './fakes/world.js';
 
 describe('a policy file', () => {
-  it('sets what it names and leaves the rest', async () => {
-    const p = await readPolicy('p.cel', '{\n  "idle_s": machine_spot ? 90.0 : machine_price * 10.0\n}');
-    expect(p.idleTimeoutS({ zone: 'a', spot: true, type: box })).toBe(90);
-    expect(p.idleTimeoutS({ zone: 'a', spot: false, type: box })).toBe(10);
-    expect(p.silenceTimeoutS({ zone: 'a', spot: false, type: box })).toBe(11);
+  it('overrides the settings that it names and leaves the defaults of the others', async () => {
+    const policy = await readPolicy('p.cel', '{\n  "idle_s": machine_spot ? 90.0 : machine_price * 10.0\n}');
+    expect(policy.idleTimeoutS({ zone: 'a', spot: true, type: box })).toBe(90);
+    expect(policy.idleTimeoutS({ zone: 'a', spot: false, type: box })).toBe(10);
+    expect(policy.silenceTimeoutS({ zone: 'a', spot: false, type: box })).toBe(11);
   });
 
-  it('is refused with line, column and reason', async () => {
+  it('is rejected with file, position and reason, or with the wrong setting', async () => {
     await expect(readPolicy('p.cel', '{\n  "idle_s": machine_spott ? 1.0 : 2.0\n}')).rejects.toThrow(
       /^p\.cel:2:13: .*machine_spott/,
     );
--- a/test/settings.test.ts
+++ b/test/settings.test.ts
@@ -4,19 +4,19 @@
 import { settingsFor } from './fakes/world.js';
 
 describe('addresses in the settings', () => {
-  it('are of one host, by number or name, with a port', () => {
-    for (const good of [
+  it('are an IP address or a host name with a port', () => {
+    for (const valid of [
       '10.0.0.1:8080',
       'ostler-0:80',
       'state.example.org:2379',
       '[::1]:9000',
       '127.0.0.1:0',
     ])
-      expect(addressProblem(good)).toBeNull();
+      expect(addressProblem(valid)).toBeNull();
     expect(parseHostPort('[fe80::2]:8081')).toEqual({ host: 'fe80::2', port: 8081 });
   });
 
-  it('say what was expected', () => {
+  it('are rejected with what was expected and what was found', () => {
     const problems: Record<string, string> = {
       nowhere: 'expected host:port, found "nowhere"',
       '10.0.0.1:': 'expected host:port, found "10.0.0.1:"',
@@ -31,7 +31,7 @@
     for (const [address, problem] of Object.entries(problems)) expect(addressProblem(address)).toBe(problem);
   });
 
-  it('are named by field when one is wrong', () => {
+  it('are reported with the field that holds the invalid one', () => {
     const settings = settingsFor(0);
     expect(() => readSettings({ ...settings, serve_on: '224.0.0.1:80' })).toThrow(
       'settings: serve_on: expected the address of one host, found 224.0.0.1 (multicast)',
