--- a/src/io/metrics.ts
+++ b/src/io/metrics.ts
@@ -1,9 +1,9 @@
-/** Duration histograms and process figures for `GET /metrics`. */
+/** Duration histograms and process metrics for `GET /metrics`. */
 import { createHistogram, performance, type RecordableHistogram } from 'node:perf_hooks';
 
 /** Records one duration. */
 export type Measure = (
-  what: 'round' | 'write' | 'fold' | 'take_over' | 'answer' | 'question' | 'renewal',
+  operation: 'round' | 'write' | 'fold' | 'take_over' | 'answer' | 'question' | 'renewal',
   ms: number,
 ) => void;
 
@@ -14,11 +14,11 @@
 export class Metrics {
   private readonly histograms = new Map<string, RecordableHistogram>();
 
-  readonly measure: Measure = (what, ms) => {
-    let histogram = this.histograms.get(what);
+  readonly measure: Measure = (operation, ms) => {
+    let histogram = this.histograms.get(operation);
     if (!histogram) {
       histogram = createHistogram({ lowest: 1, highest: MAX_MS, figures: SIGNIFICANT_DIGITS });
-      this.histograms.set(what, histogram);
+      this.histograms.set(operation, histogram);
     }
     histogram.record(Math.max(1, Math.min(MAX_MS, Math.round(ms))));
   };
@@ -26,8 +26,8 @@
   /** Count and percentiles of each histogram that has a value. */
   summarize(): Record<string, object> {
     return Object.fromEntries(
-      [...this.histograms].map(([what, histogram]) => [
-        `${what}_ms`,
+      [...this.histograms].map(([operation, histogram]) => [
+        `${operation}_ms`,
         {
           count: histogram.count,
           p50: histogram.percentile(50),
--- a/src/io/peers.ts
+++ b/src/io/peers.ts
@@ -55,7 +55,7 @@
 /** The other controllers, as the actors see them. */
 export interface Peers {
   /** Resolves to null if the node is not connected or does not answer in time. */
-  ask(node: string, ask: PeerRequest): Promise<PeerResponse | null>;
+  ask(node: string, request: PeerRequest): Promise<PeerResponse | null>;
   isConnected(node: string): boolean;
   /** The last valid status of each peer. */
   statuses(): ReceivedStatus[];
