--- a/test/http.test.ts
+++ b/test/http.test.ts
@@ -41,17 +41,33 @@
   );
 }
 
-/** Sends pieces over one connection with pauses between them; returns what was received. */
-async function exchange(address: string, pieces: string[]): Promise<string> {
+/** The longest that the server may take to answer; far more than it needs beside other load. */
+const ANSWER_LIMIT_MS = 4000;
+
+/**
+ * Sends pieces over one connection with pauses between them. Returns what was received once it ends with the last
+ * answer, or once the server has closed the connection; fails if neither comes within the limit.
+ */
+async function exchange(address: string, pieces: string[], lastAnswer?: string): Promise<string> {
   const [host, port] = address.split(':');
   const socket = net.connect({ host, port: Number(port) });
   let received = '';
-  socket.on('data', (bytes: Buffer) => (received += bytes.toString()));
+  const isOver = new Promise<boolean>((resolve) => {
+    socket.on('data', (bytes: Buffer) => {
+      received += bytes.toString();
+      if (lastAnswer !== undefined && received.endsWith(lastAnswer)) resolve(true);
+    });
+    socket.on('close', () => resolve(true));
+    setTimeout(() => resolve(false), ANSWER_LIMIT_MS).unref();
+  });
   for (const piece of pieces) {
     socket.write(piece);
     await new Promise((resolve) => setTimeout(resolve, 30));
   }
+  const isInTime = await isOver;
   socket.destroy();
+  if (!isInTime)
+    throw new Error(`no last answer and no close within ${ANSWER_LIMIT_MS} ms, got: ${received}`);
   return received;
 }
 
@@ -62,22 +78,20 @@
   it('read reports that arrive in pieces or several at once', async () => {
     const text = reportRequest('{"seq":1,"name":"ü"}');
     const address = await startReportServer();
-    const received = await exchange(address, [
-      text.slice(0, 5),
-      text.slice(5, 60),
-      text.slice(60) + reportRequest('{}'),
-    ]);
+    const pieces = [text.slice(0, 5), text.slice(5, 60), text.slice(60) + reportRequest('{}')];
+    const received = await exchange(address, pieces, '{}');
     expect(received.match(/HTTP\/1.1 200 OK/g)).toHaveLength(2);
     expect(received).toContain('{"seq":1,"name":"ü"}');
     expect(received.endsWith('{}')).toBe(true);
   });
 
   it('hand every other request to the HTTP server, also after reports', async () => {
-    const received = await exchange(await startReportServer(), [
+    const pieces = [
       reportRequest('{"first":true}'),
       'GET /ready HTTP/1.1\r\nHost: x\r\n\r\n',
       'POST /v1/jobs HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\n{}',
-    ]);
+    ];
+    const received = await exchange(await startReportServer(), pieces, '{"path":"/v1/jobs"}');
     expect(received).toContain('{"first":true}');
     expect(received).toContain('{"path":"/ready"}');
     expect(received).toContain('{"path":"/v1/jobs"}');
@@ -86,7 +100,8 @@
   it('hand a report with a chunked body to the HTTP server', async () => {
     const chunked =
       'POST /hello HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n2\r\n{}\r\n0\r\n\r\n';
-    expect(await exchange(await startReportServer(), [chunked])).toContain('{"path":"/hello"}');
+    const answer = '{"path":"/hello"}';
+    expect(await exchange(await startReportServer(), [chunked], answer)).toContain(answer);
   });
 
   it('reject a body over the limit and close', async () => {
