--- a/test/cancellation.test.ts
+++ b/test/cancellation.test.ts
@@ -5,11 +5,11 @@
   cancelUntilConfirmed,
   expectAllAnswered,
   expectAllOver,
-  refuse,
+  refuseStateRequests,
   resolved,
   startWorld,
-  unlink,
-  work,
+  cutPeers,
+  submitWork,
 } from './fakes/scenarios.js';
 import { type World } from './fakes/world.js';
 
@@ -24,13 +24,13 @@
   }
   const runScenario = async (seed: number, scenario: Scenario): Promise<void> => {
     const world = await startWorld(seed);
-    const { doomed, kept } = work(world);
+    const { doomed, kept } = submitWork(world);
     await world.time.run(25_000 + world.random() * 3000);
     for (let i = 0; i < (scenario.repetitions ?? 1); i++) {
       const formerLeader = world.leader();
-      refuse(world, formerLeader, 14_000);
+      refuseStateRequests(world, formerLeader, 14_000);
       scenario.duringRefusal?.(world, formerLeader);
-      await world.time.until(() => world.leader() >= 0 && world.leader() !== formerLeader, 8000);
+      await world.time.runUntil(() => world.leader() >= 0 && world.leader() !== formerLeader, 8000);
       const newLeader = world.leader();
       expect(newLeader).not.toBe(formerLeader);
       const toCancel = i === 0 ? doomed.slice(0, scenario.repetitions ? 1 : 3) : doomed.slice(1);
@@ -44,7 +44,7 @@
       await world.time.run(confirmed[0]! + CANCEL_MS + 10 - world.time.now);
       // Reports every task that is still on a machine.
       world.checker.finish();
-      expect(world.checker.broken).toEqual([]);
+      expect(world.checker.violations).toEqual([]);
       if (scenario.keepsWork)
         for (const [id, session] of sessions) expect(world.workers.get(id)?.session).toBe(session);
       await world.time.run(outageMs - CANCEL_MS + 8000);
@@ -63,14 +63,14 @@
       afterConfirmation: (world, _, newLeader) => world.crash(newLeader, 300),
     },
     'and connections between the controllers are refused': {
-      duringRefusal: (world, formerLeader) => unlink(world, formerLeader, 90_000),
+      duringRefusal: (world, formerLeader) => cutPeers(world, formerLeader, 90_000),
     },
     'and direct calls are lost': { duringRefusal: loseDirectCalls, keepsWork: true },
     'and direct calls are lost, and the controllers lose contact with each other': {
-      duringRefusal: (world, formerLeader) => (loseDirectCalls(world), unlink(world, formerLeader, 90_000)),
+      duringRefusal: (world, formerLeader) => (loseDirectCalls(world), cutPeers(world, formerLeader, 90_000)),
     },
     'and the new leader crashes, with its peer links and direct calls lost': {
-      duringRefusal: (world, formerLeader) => (loseDirectCalls(world), unlink(world, formerLeader, 90_000)),
+      duringRefusal: (world, formerLeader) => (loseDirectCalls(world), cutPeers(world, formerLeader, 90_000)),
       afterConfirmation: (world, _, newLeader) => world.crash(newLeader, 100_000),
     },
     'twice in a row': { repetitions: 2 },
@@ -80,7 +80,8 @@
     },
     'and no command reaches a worker while the lock lasts': {
       duringRefusal: (world) => loseDirectCalls(world, 8000),
-      afterConfirmation: (world) => machineIds(world).forEach((machine) => world.network.mute(machine, 4000)),
+      afterConfirmation: (world) =>
+        machineIds(world).forEach((machine) => world.network.dropReports(machine, 4000)),
       keepsWork: true,
     },
     'and two machines hang for 90 s': {
@@ -96,16 +97,16 @@
 
   it('and the refused node is a follower: no work is lost', async () => {
     const world = await startWorld(203);
-    const { doomed } = work(world);
+    const { doomed } = submitWork(world);
     await world.time.run(25_000);
     const sessions = new Map([...world.workers].map(([id, worker]) => [id, worker.session]));
-    refuse(world, (world.leader() + 1) % 3, 14_000);
+    refuseStateRequests(world, (world.leader() + 1) % 3, 14_000);
     await world.time.run(2000);
     const at = await cancelUntilConfirmed(world, doomed[0]!.name_id, () => world.leader());
     world.state.outage(55_000);
     await world.time.run(CANCEL_MS + 10 - (world.time.now - at));
     world.checker.finish();
-    expect(world.checker.broken).toEqual([]);
+    expect(world.checker.violations).toEqual([]);
     for (const job of doomed.slice(1)) world.user(job, 70_000);
     await world.time.run(20_000);
     for (const [id, s] of sessions) expect(world.workers.get(id)?.session ?? s).toBe(s);
@@ -139,13 +140,13 @@
       );
       await world.time.run(Math.max(...at) + CANCEL_MS + 100 - world.time.now);
       await expectAllOver(world, 10);
-      expect(world.checker.lateStarts).toEqual([]);
+      expect(world.checker.startsAfterCancellation).toEqual([]);
     }
   });
 
   it("at the end of a job's last task, with a status query and a submission at the same time", async () => {
     const world = await startWorld(211);
-    world.checker.onAllDone = (id) => {
+    world.checker.onJobCompleted = (id) => {
       const at = Math.floor(world.random() * 3);
       world.time.after(world.random() * 600, () => void world.ask('withdraw', id, undefined, at));
       world.time.after(world.random() * 600, () => void world.ask('show', id));
@@ -164,7 +165,7 @@
     expect([told.includes('done'), told.includes('aborted')]).toEqual([true, true]);
     // All nodes must keep giving the same answers.
     await expectAllAnswered(world);
-    expect(world.checker.broken).toEqual([]);
+    expect(world.checker.violations).toEqual([]);
   });
 
   it('with commands that arrive late, among them starts of cancelled jobs', async () => {
@@ -178,12 +179,12 @@
     world.checker.submitted(job);
     await resolved(world, world.ask('submit', job.name_id, job, world.leader()));
     await world.time.run(500);
-    for (const machine of all) world.network.mute(machine, 6000);
+    for (const machine of all) world.network.dropReports(machine, 6000);
     await cancelUntilConfirmed(world, job.name_id, () => world.leader());
     await expectAllOver(world, 60);
     await world.time.run(20_000);
     world.checker.finish();
-    expect(world.checker.broken).toEqual([]);
+    expect(world.checker.violations).toEqual([]);
   });
 
   it('of a team at its limit when the leader changes and some of its machines cannot be reached', async () => {
@@ -193,7 +194,7 @@
     await world.time.run(30_000);
     for (const machine of [...world.workers.keys()].slice(0, 3)) world.network.cut(machine, '*', 9000, true);
     world.crash(world.leader(), 300);
-    await world.time.until(() => world.leader() >= 0, 8000);
+    await world.time.runUntil(() => world.leader() >= 0, 8000);
     await cancelUntilConfirmed(world, blue[0]!.name_id, () => world.leader());
     world.user(world.job({ desk: 'blue', shifts: 20, cpus: 2, reckon_s: 10 }));
     await expectAllOver(world, 400);
--- a/test/checker.test.ts
+++ b/test/checker.test.ts
@@ -30,7 +30,7 @@
       loaners: false,
       ...over,
     }) as JobOnWire;
-  const rules = (): string[] => c.broken.map((b) => b.split(':')[0]!);
+  const rules = (): string[] => c.violations.map((b) => b.split(':')[0]!);
   beforeEach(() => {
     now = 0;
     c = new Checker(() => now, [{ name: 'red', cpus: 4, cpusMax: 8, gpus: 0, gpusMax: 0 }], [box], 45_000);
@@ -63,7 +63,7 @@
   it('ran_cancelled', () => {
     c.submitted(job());
     c.start('wk-1', 0, place('m1'));
-    c.willWithdraw('wk-1');
+    c.cancellationRequested('wk-1');
     c.answer('withdraw', 'wk-1', 200, 'aborted');
     now = 46_000;
     c.finish();
@@ -72,11 +72,11 @@
   it('a cancelled task that goes on after its machine hung, and starts after a confirmed cancellation', () => {
     c.submitted(job());
     c.start('wk-1', 0, place('m1'));
-    c.willWithdraw('wk-1');
+    c.cancellationRequested('wk-1');
     c.answer('withdraw', 'wk-1', 200, 'aborted');
     now = 10_000;
     c.start('wk-1', 1, place('m2'));
-    expect([rules(), c.lateStarts]).toEqual([[], ['wk-1/1']]);
+    expect([rules(), c.startsAfterCancellation]).toEqual([[], ['wk-1/1']]);
     c.end('wk-1', 1, place('m2'), false);
     // The hang is over, its lease was not: the task goes on until its stop arrives.
     now = 45_500;
@@ -89,7 +89,7 @@
       c.submitted(job({ name_id: `wk-${i}`, ...over }));
       c.answer('submit', `wk-${i}`, 201, 'queued');
     }
-    expect(c.broken.map((b) => b.slice(0, 11))).toEqual([
+    expect(c.violations.map((b) => b.slice(0, 11))).toEqual([
       'unfit: wk-1',
       'unfit: wk-2',
       'unfit: wk-3',
@@ -99,7 +99,7 @@
   it('a job that waits for 90 s while a machine that fits has room and its team is under its limit', () => {
     const free = (cpus: number, zone = 'a') => [{ place: place('m1', zone), cpus, mem: 9 }];
     const wait = (m: ReturnType<typeof free>): void => {
-      for (const end = now + 100_000; now < end; now += 5000) c.waits(m);
+      for (const end = now + 100_000; now < end; now += 5000) c.checkWaiting(m);
     };
     c.submitted(job({ yard: 'a' }));
     c.answer('submit', 'wk-1', 201, 'queued');
@@ -112,7 +112,7 @@
     wait(free(0));
     expect(rules()).toEqual([]);
     wait(free(4));
-    expect(c.broken[0]).toMatch(/^waits: wk-1 /);
+    expect(c.violations[0]).toMatch(/^waits: wk-1 /);
   });
   it('forgotten', () => {
     c.submitted(job());
--- a/test/failover.test.ts
+++ b/test/failover.test.ts
@@ -19,7 +19,7 @@
 
   it('a crash makes another node lead even if no watch event reports the free lock', async () => {
     const world = new World(9);
-    world.state.muteLeases = true;
+    world.state.omitExpiryEvents = true;
     await world.started();
     const initialLeader = world.leader();
     world.crash(initialLeader, 60_000);
@@ -60,11 +60,11 @@
     world.user(world.job({ shifts: 12, reckon_s: 30 }));
     await world.time.run(20_000);
     const initialLeader = world.leader();
-    world.state.refusedTo.add(`n${initialLeader}`);
+    world.state.refusedNodes.add(`n${initialLeader}`);
     await world.time.run(6000);
     expect(world.leader()).not.toBe(initialLeader);
     expect(world.leader()).toBeGreaterThanOrEqual(0);
-    world.time.after(20_000, () => world.state.refusedTo.clear());
+    world.time.after(20_000, () => world.state.refusedNodes.clear());
     await expectAllOver(world, 200);
   });
 });
@@ -126,7 +126,7 @@
     world.user(world.job({ shifts: 16, reckon_s: 60 }));
     await world.time.run(30_000);
     const initialLeader = world.leader();
-    const rentals = world.cloud.rentals;
+    const rentals = world.cloud.rentedMachines;
     const machines = [...world.cloud.machines.keys()];
     // The outage restores the full duration of the leader's lease after the freeze.
     world.state.outage(28_000);
@@ -134,7 +134,7 @@
     await world.time.run(36_000);
     expect(world.leader()).toBe(initialLeader);
     expect([...world.cloud.machines.keys()]).toEqual(machines);
-    expect(world.cloud.rentals).toBe(rentals);
+    expect(world.cloud.rentedMachines).toBe(rentals);
     await expectAllOver(world, 300);
   });
 });
@@ -222,10 +222,12 @@
       return handle(from, method, path, body);
     };
     // It loses the lock, and for a while it can't read what the next leader writes.
-    world.state.refusedTo.add(`n${former}`);
-    expect(await world.time.until(() => world.leader() >= 0 && world.leader() !== former, 8000)).toBe(true);
+    world.state.refusedNodes.add(`n${former}`);
+    expect(await world.time.runUntil(() => world.leader() >= 0 && world.leader() !== former, 8000)).toBe(
+      true,
+    );
     await world.time.run(3000);
-    world.state.refusedTo.delete(`n${former}`);
+    world.state.refusedNodes.delete(`n${former}`);
     world.user(world.job({ shifts: 4, reckon_s: 60 }));
     await world.time.run(8000);
     const [formerController, leaderController] = [former, world.leader()].map(
--- a/test/fakes/checker.ts
+++ b/test/fakes/checker.ts
@@ -23,7 +23,7 @@
   due_s: number | null;
 }
 
-export interface Place {
+export interface MachineInfo {
   id: string;
   type: string;
   zone: string;
@@ -53,19 +53,19 @@
 
 /** Sees what the workers do and what the users are told, and names each broken rule. */
 export class Checker {
-  readonly broken: string[] = [];
+  readonly violations: string[] = [];
   starts = 0;
   /** Starts after a confirmed cancellation. */
-  readonly lateStarts: string[] = [];
+  readonly startsAfterCancellation: string[] = [];
   /** Told when the last task of a job has completed. */
-  onAllDone: (id: string) => void = () => {};
+  onJobCompleted: (id: string) => void = () => {};
   private readonly jobs = new Map<string, JobOnWire>();
   private readonly told = new Map<string, Told>();
   private readonly asked = new Set<string>();
   private readonly cancelled = new Map<string, number>();
   private readonly done = new Map<string, Set<number>>();
   /** By job and then by job/task: the machines that hold it. */
-  private readonly present = new Map<string, Map<string, Map<string, Place>>>();
+  private readonly present = new Map<string, Map<string, Map<string, MachineInfo>>>();
   /** CPUs that each team's tasks hold. */
   private readonly cpusUsed = new Map<string, number>();
 
@@ -77,7 +77,7 @@
   ) {}
 
   private say(rule: string, what: string): void {
-    this.broken.push(`${rule}: ${what} at ${(this.now() / 1000).toFixed(1)} s`);
+    this.violations.push(`${rule}: ${what} at ${(this.now() / 1000).toFixed(1)} s`);
   }
 
   submitted(j: JobOnWire): void {
@@ -86,19 +86,19 @@
   job(id: string): JobOnWire | undefined {
     return this.jobs.get(id);
   }
-  willWithdraw(id: string): void {
+  cancellationRequested(id: string): void {
     this.asked.add(id);
   }
 
   /** How many tasks of a job were started. */
-  started(id: string): number {
+  startCountOf(id: string): number {
     return this.startsOf.get(id) ?? 0;
   }
   private readonly startsOf = new Map<string, number>();
 
-  start(id: string, task: number, m: Place): void {
+  start(id: string, task: number, m: MachineInfo): void {
     this.starts++;
-    this.startsOf.set(id, this.started(id) + 1);
+    this.startsOf.set(id, this.startCountOf(id) + 1);
     const key = `${id}/${task}`;
     const others = [...(this.placesOf(id, key)?.keys() ?? [])].filter((machine) => machine !== m.id);
     if (others.length > 0) this.say('ran_twice', `${key} on ${m.id} and ${others.join()}`);
@@ -117,11 +117,11 @@
     const team = this.teams.find((t) => t.name === j.desk);
     const use = this.cpusUsed.get(j.desk)!;
     if (team && use > team.cpusMax + 1e-6) this.say('quota', `${j.desk} uses ${use}`);
-    if (this.cancelled.has(id)) this.lateStarts.push(key);
+    if (this.cancelled.has(id)) this.startsAfterCancellation.push(key);
     this.checkCancelled(key, id);
   }
 
-  private placesOf(id: string, key: string): Map<string, Place> | undefined {
+  private placesOf(id: string, key: string): Map<string, MachineInfo> | undefined {
     return this.present.get(id)?.get(key);
   }
 
@@ -130,16 +130,16 @@
     if (job) this.cpusUsed.set(job.desk, (this.cpusUsed.get(job.desk) ?? 0) + times * job.cpus);
   }
 
-  private enter(id: string, key: string, m: Place): void {
-    const tasks = this.present.get(id) ?? new Map<string, Map<string, Place>>();
+  private enter(id: string, key: string, m: MachineInfo): void {
+    const tasks = this.present.get(id) ?? new Map<string, Map<string, MachineInfo>>();
     this.present.set(id, tasks);
-    const places = tasks.get(key) ?? new Map<string, Place>();
+    const places = tasks.get(key) ?? new Map<string, MachineInfo>();
     tasks.set(key, places);
     if (!places.has(m.id)) this.use(id, 1);
     places.set(m.id, m);
   }
 
-  private leave(id: string, key: string, m: Place): void {
+  private leave(id: string, key: string, m: MachineInfo): void {
     const places = this.placesOf(id, key);
     if (!places?.delete(m.id)) return;
     this.use(id, -1);
@@ -151,14 +151,14 @@
     if (c !== undefined && this.now() > c + this.cancelMs) this.say('ran_cancelled', key);
   }
 
-  end(id: string, task: number, m: Place, done: boolean): void {
+  end(id: string, task: number, m: MachineInfo, done: boolean): void {
     const key = `${id}/${task}`;
     this.checkCancelled(key, id);
     this.leave(id, key, m);
     if (!done) return;
     const d = this.done.get(id) ?? new Set<number>();
     this.done.set(id, d.add(task));
-    if (d.size === this.jobs.get(id)?.shifts) this.onAllDone(id);
+    if (d.size === this.jobs.get(id)?.shifts) this.onJobCompleted(id);
   }
 
   /** An answer to a poll, a submission or a withdrawal. */
@@ -186,7 +186,7 @@
     }
   }
 
-  private allowed(j: JobOnWire, p: Place): boolean {
+  private allowed(j: JobOnWire, p: MachineInfo): boolean {
     return (
       (!j.breeds || j.breeds.includes(p.type)) && (!j.yard || j.yard === p.zone) && (j.loaners || !p.spot)
     );
@@ -211,8 +211,8 @@
    * After the troubles, asked time and again with the machines that are there and what each has free: a job
    * must not wait while one fits and its team is under its limit.
    */
-  waits(
-    machines: { place: Place; cpus: number; mem: number }[],
+  checkWaiting(
+    machines: { place: MachineInfo; cpus: number; mem: number }[],
     failing: (id: string) => boolean = () => false,
     mostMs = 90_000,
   ): void {
--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -45,7 +45,7 @@
     this.now = end;
   }
 
-  async until(what: () => boolean, mostMs: number): Promise<boolean> {
+  async runUntil(what: () => boolean, mostMs: number): Promise<boolean> {
     for (const end = this.now + mostMs; this.now < end;) {
       if (what()) return true;
       await this.run(100);
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -1,10 +1,10 @@
 import type { HttpResponse } from '../../src/io/http-client.js';
 import type { MachineType } from '../../src/core/types.js';
-import type { Place } from './checker.js';
+import type { MachineInfo } from './checker.js';
 import type { VirtualTime } from './clock.js';
 import type { FakeWorker } from './worker.js';
 
-interface Rented extends Place {
+interface Rented extends MachineInfo {
   at: number;
   standing: 'booting' | 'running' | 'failed';
 }
@@ -13,12 +13,12 @@
 export class FakeCloud {
   down = false;
   /** Machines to give per type, zone and kind; no entry: plenty. */
-  readonly room = new Map<string, number>();
+  readonly capacity = new Map<string, number>();
   readonly machines = new Map<string, Rented>();
-  neverUp = 0;
+  bootFailureRate = 0;
   /** How many times as long as usual the nth machine takes to boot; Infinity: it never comes up. */
-  bootTimes: (n: number) => number = () => 1;
-  rentals = 0;
+  bootTimeFactor: (n: number) => number = () => 1;
+  rentedMachines = 0;
   private readonly answered = new Map<string, string[]>();
   private history: { at: number; list: object[] }[] = [];
   private next = 1;
@@ -28,7 +28,7 @@
     private readonly random: () => number,
     readonly types: MachineType[],
     private readonly lagMs: number,
-    private readonly boot: (p: Place) => FakeWorker,
+    private readonly boot: (p: MachineInfo) => FakeWorker,
     private readonly worker: (id: string) => FakeWorker | undefined,
   ) {
     this.snap();
@@ -57,10 +57,10 @@
   }
 
   /** The machine stops by itself, or the cloud takes it. */
-  lose(id: string, listed: 'failed' | 'missing'): void {
+  failMachine(id: string, listed: 'failed' | 'missing'): void {
     const m = this.machines.get(id);
     if (!m) return;
-    this.worker(id)?.die();
+    this.worker(id)?.terminate();
     if (listed === 'missing') this.machines.delete(id);
     else m.standing = 'failed';
   }
@@ -89,10 +89,10 @@
     if (method === 'POST' && url.pathname === '/hosts') return this.rent(body as never);
     if (url.pathname === '/hosts/return') {
       for (const id of (body as { mounts: string[] }).mounts) {
-        this.worker(id)?.die();
+        this.worker(id)?.terminate();
         const m = this.machines.get(id);
         const key = m ? `${m.type}|${m.zone}|${m.spot}` : '';
-        if (this.room.has(key)) this.room.set(key, this.room.get(key)! + 1);
+        if (this.capacity.has(key)) this.capacity.set(key, this.capacity.get(key)! + 1);
         this.machines.delete(id);
       }
       return { status: 200, body: {} };
@@ -112,14 +112,14 @@
     const before = this.answered.get(b.hire);
     if (before) return { status: 200, body: { mounts: before } };
     const key = `${b.breed}|${b.yard}|${b.loaners}`;
-    const n = Math.min(b.count, this.room.get(key) ?? Infinity);
+    const n = Math.min(b.count, this.capacity.get(key) ?? Infinity);
     if (n <= 0) return { status: 503, body: { error: 'no capacity' } };
-    if (this.room.has(key)) this.room.set(key, this.room.get(key)! - n);
+    if (this.capacity.has(key)) this.capacity.set(key, this.capacity.get(key)! - n);
     const ids: string[] = [];
     for (let i = 0; i < n; i++) {
       const id = `vm-${String(this.next++).padStart(6, '0')}`;
       ids.push(id);
-      const times = this.bootTimes(this.rentals++);
+      const times = this.bootTimeFactor(this.rentedMachines++);
       const p: Rented = {
         id,
         type: b.breed,
@@ -129,7 +129,7 @@
         standing: 'booting',
       };
       this.machines.set(id, p);
-      if (this.random() < this.neverUp || times === Infinity) continue;
+      if (this.random() < this.bootFailureRate || times === Infinity) continue;
       const ready =
         this.types.find((t) => t.name === b.breed)!.boot * 1000 * (0.6 + this.random() * 0.9) * times;
       this.time.after(ready, () => {
--- a/test/fakes/commands-property.ts
+++ b/test/fakes/commands-property.ts
@@ -12,14 +12,14 @@
   stop: (one: OneWorker) => one.stop(),
   cancel: (one: OneWorker) => one.cancel(),
   submit: (one: OneWorker) => one.submit(30),
-  push: (one: OneWorker) => one.push(),
-  complete: (one: OneWorker) => one.complete(),
-  newSession: (one: OneWorker) => one.worker.nextSession(),
+  push: (one: OneWorker) => one.sendCommands(),
+  complete: (one: OneWorker) => one.completeTasks(),
+  newSession: (one: OneWorker) => one.worker.startNewSession(),
   changeLeader: (one: OneWorker) => one.changeLeader(),
-  mute: (one: OneWorker) => one.mute(5000),
-  silence: (one: OneWorker) => one.silence(5000),
+  mute: (one: OneWorker) => one.dropReports(5000),
+  silence: (one: OneWorker) => one.dropAllFromWorker(5000),
   hang: (one: OneWorker) => one.hang(4000),
-  deafen: (one: OneWorker) => one.deafen(5000),
+  deafen: (one: OneWorker) => one.dropReportResponses(5000),
   copyReport: (one: OneWorker) => one.copyNextReport(20_000),
 } as const;
 type Action = keyof typeof actions;
@@ -55,14 +55,14 @@
     fc.array(step, { minLength: 1, maxLength: 16 }),
     fc.array(fate, { maxLength: 8 }),
     async (steps, fates) => {
-      const one = await OneWorker.begun(30);
+      const one = await OneWorker.withRunningJob(30);
       one.fates = [...fates];
       for (const { action, thenMs } of steps) {
         actions[action](one);
         await one.time.run(thenMs);
       }
       await one.time.run(ALL_ARRIVED_MS);
-      const wrong = [...one.violations, ...one.strays()];
+      const wrong = [...one.violations, ...one.strayTasks()];
       if (wrong.length > 0) throw new Error(wrong.join('; '));
     },
   );
--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -16,8 +16,8 @@
   /** Hosts that send but don't receive: no answer and no request reaches them. */
   private readonly deaf = new Map<string, number>();
   /** Share of workers' reports of which a copy comes late, at any node. */
-  copies = 0;
-  copyMs = (): number => 1000 + this.random() * 40_000;
+  duplicateShare = 0;
+  duplicateDelayMs = (): number => 1000 + this.random() * 40_000;
 
   constructor(
     readonly time: VirtualTime,
@@ -32,10 +32,10 @@
   }
 
   /** How long a request is held back on its way, in ms; 0: not at all. Whoever sent it gets no answer. */
-  holds: (address: string, body: unknown, path: string) => number = () => 0;
+  requestDelayMs: (address: string, body: unknown, path: string) => number = () => 0;
 
   /** How long the answer to a request is held back on its way, in ms: it was carried out in time. */
-  holdsAnswer: (address: string, path: string) => number = () => 0;
+  responseDelayMs: (address: string, path: string) => number = () => 0;
 
   /** '*' stands for every host. */
   cut(a: string, b: string, ms: number, hold = false): void {
@@ -62,16 +62,16 @@
   private readonly partitions: { inside: (host: string) => boolean; hold: boolean; until: number }[] = [];
 
   /** Requests from a host to machines that are open at once, and the most there were. */
-  readonly calls = new Map<string, { open: number; most: number }>();
+  readonly callsToWorkers = new Map<string, { open: number; most: number }>();
 
   /** A host whose requests to controllers are lost, while it is reached and answers. */
-  mute(host: string, ms: number): void {
+  dropReports(host: string, ms: number): void {
     this.muted.set(host, this.time.now + ms);
   }
   private readonly muted = new Map<string, number>();
 
   /** Whether a host is cut off, deaf, mute or stands still now. */
-  unreachable(host: string): boolean {
+  isUnreachable(host: string): boolean {
     const now = this.time.now;
     const until = [this.deaf, this.muted, this.frozen].map((m) => m.get(host) ?? 0);
     return (
@@ -82,9 +82,9 @@
   }
 
   /** Requests that arrived at each address. */
-  readonly requests = new Map<string, number>();
+  readonly requestCounts = new Map<string, number>();
 
-  deafen(host: string, ms: number): void {
+  dropIncoming(host: string, ms: number): void {
     this.deaf.set(host, this.time.now + ms);
   }
 
@@ -93,8 +93,14 @@
   }
 
   private copyLater(path: string, body: string | undefined): void {
-    if (path !== '/hello' || body === undefined || this.copies === 0 || this.random() >= this.copies) return;
-    this.time.after(this.copyMs(), () => {
+    if (
+      path !== '/hello' ||
+      body === undefined ||
+      this.duplicateShare === 0 ||
+      this.random() >= this.duplicateShare
+    )
+      return;
+    this.time.after(this.duplicateDelayMs(), () => {
       for (const [a, h] of this.hosts) if (a.endsWith(':80')) void h('POST', path, JSON.parse(body));
     });
   }
@@ -116,8 +122,8 @@
     return (address, method, path, body, timeoutMs) =>
       new Promise((resolve) => {
         let open = true;
-        const calls = this.calls.get(from) ?? { open: 0, most: 0 };
-        this.calls.set(from, calls);
+        const calls = this.callsToWorkers.get(from) ?? { open: 0, most: 0 };
+        this.callsToWorkers.set(from, calls);
         if (address.startsWith('vm-')) calls.most = Math.max(calls.most, ++calls.open);
         const end = (a: HttpResponse | null): void => {
           if (!open) return;
@@ -137,7 +143,7 @@
           }
           if (address.endsWith(':80') && (this.muted.get(from) ?? 0) > this.time.now) return;
           if (!this.hears(address)) return;
-          this.requests.set(address, (this.requests.get(address) ?? 0) + 1);
+          this.requestCounts.set(address, (this.requestCounts.get(address) ?? 0) + 1);
           this.copyLater(path, text);
           const h = this.hosts.get(address);
           if (!h) return void this.time.after(this.delay(), () => end(null));
@@ -145,7 +151,7 @@
             (a) => {
               if (!a) return;
               const back = JSON.stringify(a.body);
-              this.time.after(this.delay() + this.holdsAnswer(address, path), () => {
+              this.time.after(this.delay() + this.responseDelayMs(address, path), () => {
                 if (this.cutBetween(from, address) || !this.hears(from)) return;
                 this.awake(from, () =>
                   end({ status: a.status, body: back === undefined ? undefined : JSON.parse(back) }),
@@ -154,7 +160,7 @@
             },
           );
         };
-        this.time.after(this.delay() + this.holds(address, body, path), arrive);
+        this.time.after(this.delay() + this.requestDelayMs(address, body, path), arrive);
       });
   }
 }
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -6,7 +6,7 @@
 import type { HttpResponse, HttpCall } from '../../src/io/http-client.js';
 import { readReport } from '../../src/wire/reports.js';
 import { readJob, writeRedirect, writeReportAnswer } from '../../src/wire/schemas.js';
-import { Checker, type JobOnWire, type Place } from './checker.js';
+import { Checker, type JobOnWire, type MachineInfo } from './checker.js';
 import { VirtualTime } from './clock.js';
 import { createWorkersActor, REPORT_PERIOD_S } from './leading.js';
 import { FakeWorker } from './worker.js';
@@ -25,12 +25,12 @@
 const WRITE_MS = 15;
 const TICK_MS = 1000;
 const TASKS = 4;
-const PLACE: Place = { id: 'vm-1', type: 'box', zone: 'a', spot: false };
+const PLACE: MachineInfo = { id: 'vm-1', type: 'box', zone: 'a', spot: false };
 
 /** Tells of each start of a task on the worker. */
 class StartsChecker extends Checker {
   onStart: (job: string, task: number) => void = () => {};
-  override start(id: string, task: number, place: Place): void {
+  override start(id: string, task: number, place: MachineInfo): void {
     super.start(id, task, place);
     this.onStart(id, task);
   }
@@ -89,7 +89,7 @@
   }
 
   /** A leader that has heard its worker, and a job of four tasks. */
-  static async begun(runSeconds = 1000): Promise<OneWorker> {
+  static async withRunningJob(runSeconds = 1000): Promise<OneWorker> {
     const one = new OneWorker();
     one.submit(runSeconds);
     await one.time.run(6000);
@@ -115,14 +115,14 @@
   }
 
   /** The leader decides: written, applied, and told to the worker. */
-  decide(entry: LogEntry): void {
+  appendDecision(entry: LogEntry): void {
     if (entry.e === 'withdraw') this.leader.tell({ kind: 'cancelling', job: entry.job, isUnderWay: true });
     this.append(this.leader, {
       entries: [entry],
       onSettled: (ok) => {
         if (entry.e === 'withdraw')
           this.leader.tell({ kind: 'cancelling', job: entry.job, isUnderWay: false });
-        if (ok) this.push();
+        if (ok) this.sendCommands();
       },
     });
   }
@@ -131,26 +131,27 @@
   start(): void {
     const job = this.state.jobs.get(this.job);
     const next = job && !job.withdrawn ? waitingTasks(job, 1)[0] : undefined;
-    if (next) this.decide({ e: 'start', job: this.job, p: [[next[0], next[1], this.machine]] });
+    if (next) this.appendDecision({ e: 'start', job: this.job, p: [[next[0], next[1], this.machine]] });
   }
 
   /** Stops what runs of the latest job, as for a preemption. */
   stop(): void {
     const tasks = [...(this.state.jobs.get(this.job)?.live.keys() ?? [])];
-    if (tasks.length > 0) this.decide({ e: 'stop', job: this.job, p: tasks, grace: 0, why: 'preempted' });
+    if (tasks.length > 0)
+      this.appendDecision({ e: 'stop', job: this.job, p: tasks, grace: 0, why: 'preempted' });
   }
 
   cancel(): void {
-    if (this.state.jobs.has(this.job)) this.decide({ e: 'withdraw', job: this.job });
+    if (this.state.jobs.has(this.job)) this.appendDecision({ e: 'withdraw', job: this.job });
   }
 
   /** What the leader would tell the worker now goes out directly. */
-  push(): void {
+  sendCommands(): void {
     this.leader.tell({ kind: 'commandsDue', machines: [this.machine] });
   }
 
   /** Tasks that run on the worker complete. */
-  complete(): void {
+  completeTasks(): void {
     for (const task of this.worker.tasks.values())
       if (task.standing === 'running') this.worker.exit(task, 'done', true);
   }
@@ -162,18 +163,18 @@
   }
 
   /** The worker's reports are lost. */
-  mute(ms: number): void {
+  dropReports(ms: number): void {
     this.mutedUntil = this.time.now + ms;
   }
 
   /** Nothing that the worker sends gets through, reports and answers alike. */
-  silence(ms: number): void {
-    this.mute(ms);
+  dropAllFromWorker(ms: number): void {
+    this.dropReports(ms);
     this.silentUntil = this.time.now + ms;
   }
 
   /** The worker's reports arrive; no answer to them gets back. */
-  deafen(ms: number): void {
+  dropReportResponses(ms: number): void {
     this.deafUntil = this.time.now + ms;
   }
 
@@ -183,7 +184,7 @@
   }
 
   /** Tasks on the worker that the log does not have there: in quiet times there are none. */
-  strays(): string[] {
+  strayTasks(): string[] {
     const onWorker = [...this.worker.tasks.values()].filter((task) => task.standing !== 'ended');
     return onWorker
       .filter((task) => {
@@ -199,7 +200,7 @@
     this.worker.hang(ms);
   }
 
-  figures(): WorkerStatistics {
+  statistics(): WorkerStatistics {
     return this.leader.statistics();
   }
 
--- a/test/fakes/scenarios.ts
+++ b/test/fakes/scenarios.ts
@@ -12,19 +12,19 @@
 
 /** Guards against work that is left waiting: whatever fits a machine with room starts within 90 s. */
 const look = (w: World): void => {
-  const sound = [...w.workers.values()].filter((x) => !x.faulty && !w.network.unreachable(x.place.id));
-  w.checker.waits(
-    sound.map((x) => x.free),
-    (id) => w.failing.has(id),
+  const sound = [...w.workers.values()].filter((x) => !x.failsTasks && !w.network.isUnreachable(x.place.id));
+  w.checker.checkWaiting(
+    sound.map((x) => x.freeResources),
+    (id) => w.failingJobs.has(id),
   );
 };
 
 export const expectAllOver = async (w: World, mostS: number): Promise<void> => {
   let all = false;
   for (const end = w.time.now + mostS * 1000; !all && w.time.now < end; look(w))
-    all = await w.time.until(() => w.allOver(), 3000);
+    all = await w.time.runUntil(() => w.allJobsFinished(), 3000);
   w.checker.finish();
-  expect(w.checker.broken).toEqual([]);
+  expect(w.checker.violations).toEqual([]);
   expect(all, 'all jobs are over').toBe(true);
 };
 
@@ -48,7 +48,7 @@
 export async function resolved<T>(w: World, p: Promise<T>): Promise<T> {
   let out: { v: T } | null = null;
   void p.then((v) => (out = { v }));
-  await w.time.until(() => out !== null, 10_000);
+  await w.time.runUntil(() => out !== null, 10_000);
   return out!.v;
 }
 
@@ -66,13 +66,13 @@
 };
 
 /** The state service refuses one node. */
-export const refuse = (w: World, n: number, ms: number): void => {
-  w.state.refusedTo.add(`n${n}`);
-  w.time.after(ms, () => w.state.refusedTo.delete(`n${n}`));
+export const refuseStateRequests = (w: World, n: number, ms: number): void => {
+  w.state.refusedNodes.add(`n${n}`);
+  w.time.after(ms, () => w.state.refusedNodes.delete(`n${n}`));
 };
 
 /** One node loses the other controllers. */
-export const unlink = (w: World, n: number, ms: number): void => {
+export const cutPeers = (w: World, n: number, ms: number): void => {
   w.network.cut(`n${n}:81`, '*', ms);
   for (const o of [0, 1, 2]) w.network.cut(`n${n}`, `n${o}:81`, ms);
 };
@@ -81,13 +81,13 @@
  * Holds the first copy of each request that is meant, by a key of its own (null: not meant); its repeats get
  * through. Gives the keys of what was held.
  */
-export function holdFirstCopies(
+export function delayFirstCopies(
   w: World,
   ms: number,
   keyOf: (address: string, body: unknown) => string | null,
 ): ReadonlySet<string> {
   const held = new Set<string>();
-  w.network.holds = (address, body) => {
+  w.network.requestDelayMs = (address, body) => {
     const key = keyOf(address, body);
     if (key === null || held.has(key)) return 0;
     held.add(key);
@@ -97,7 +97,7 @@
 }
 
 /** Long work that is to be cancelled, and some that is not. */
-export const work = (w: World): { doomed: JobOnWire[]; kept: JobOnWire } => {
+export const submitWork = (w: World): { doomed: JobOnWire[]; kept: JobOnWire } => {
   const doomed = [0, 1, 2].map(() => w.job({ shifts: 6, reckon_s: 400, kit: 'img-0' }));
   const kept = w.job({ desk: 'blue', shifts: 4, reckon_s: 60 });
   for (const j of [...doomed, kept]) w.user(j);
--- a/test/fakes/state-service.ts
+++ b/test/fakes/state-service.ts
@@ -15,17 +15,17 @@
 /** The state service of the protocol: guards, leases, watches, limits and outages. */
 export class FakeStateService {
   readonly kv = new Map<string, Value>();
-  ledger = 0;
+  revision = 0;
   down = false;
   /** Watches do not tell of keys that went with their lease. */
-  muteLeases = false;
-  refusedTo = new Set<string>();
+  omitExpiryEvents = false;
+  refusedNodes = new Set<string>();
   /** Transactions that get no answer, and after how many ms they are carried out; 0: at once, with an answer. */
-  lateMs: (t: Txn) => number = () => 0;
+  transactionDelayMs: (t: Txn) => number = () => 0;
   /** Transactions that are carried out at once, and whose answers are lost. */
-  loses: (t: Txn) => boolean = () => false;
+  losesResponse: (t: Txn) => boolean = () => false;
   /** Requests over the limits. */
-  over = 0;
+  rateLimited = 0;
   private readonly leases = new Map<number, { ttl: number; until: number }>();
   private nextLease = 1;
   private news: { key: string; data: unknown; removed: boolean; stamp: number }[] = [];
@@ -58,16 +58,16 @@
     this.leases.delete(id);
     const keys = [...this.kv].filter(([, v]) => v.tenure === id).map(([k]) => k);
     if (keys.length > 0) {
-      this.ledger++;
-      for (const k of keys) this.change(k, undefined, true, undefined, this.muteLeases);
+      this.revision++;
+      for (const k of keys) this.change(k, undefined, true, undefined, this.omitExpiryEvents);
     }
   }
 
   private change(key: string, data: unknown, removed: boolean, tenure?: number, mute = false): void {
     if (removed) this.kv.delete(key);
-    else this.kv.set(key, { data, stamp: this.ledger, tenure });
+    else this.kv.set(key, { data, stamp: this.revision, tenure });
     if (mute) return;
-    this.news.push({ key, data, removed, stamp: this.ledger });
+    this.news.push({ key, data, removed, stamp: this.revision });
     const w = this.waiters;
     this.waiters = [];
     for (const x of w) x();
@@ -82,17 +82,17 @@
 
   handle(from: string, method: string, path: string, body: unknown): HttpResponse | Promise<HttpResponse> {
     const url = new URL(path, 'http://state');
-    if (this.down || this.refusedTo.has(from)) return { status: 503, body: { error: 'unavailable' } };
+    if (this.down || this.refusedNodes.has(from)) return { status: 503, body: { error: 'unavailable' } };
     if (!this.rate()) {
-      this.over++;
+      this.rateLimited++;
       return { status: 429, body: {} };
     }
     if (method === 'POST' && url.pathname === '/txn') {
-      if (this.loses(body as Txn)) {
+      if (this.losesResponse(body as Txn)) {
         this.txn(body as Txn);
         return new Promise(() => {});
       }
-      const late = this.lateMs(body as Txn);
+      const late = this.transactionDelayMs(body as Txn);
       if (late === 0) return this.txn(body as Txn);
       this.time.after(late, () => this.down || this.txn(body as Txn));
       return new Promise(() => {});
@@ -125,13 +125,13 @@
         if (items.length >= 1000 || size > 512 * 1024) break;
         items.push({ key: k, data: v.data, stamp: v.stamp });
       }
-      return { status: 200, body: { items, truncated: items.length < keys.length, ledger: this.ledger } };
+      return { status: 200, body: { items, truncated: items.length < keys.length, ledger: this.revision } };
     }
     const key = url.pathname.slice('/kv/'.length);
     const v = this.kv.get(key);
     return v
       ? { status: 200, body: { key, data: v.data, stamp: v.stamp, tenure: v.tenure } }
-      : { status: 404, body: { ledger: this.ledger } };
+      : { status: 404, body: { ledger: this.revision } };
   }
 
   private txn(t: Txn): HttpResponse {
@@ -139,7 +139,7 @@
     this.writes = this.writes.filter((w) => w.at > now - 1000);
     this.writes.push({ at: now, n: t.apply.length });
     if (this.writes.reduce((a, w) => a + w.n, 0) > this.limits.write_rps * 2) {
-      this.over++;
+      this.rateLimited++;
       return { status: 429, body: {} };
     }
     const tooBig = t.apply.some((a) => JSON.stringify(a.data ?? null).length > this.limits.value_kb * 1024);
@@ -147,12 +147,12 @@
     if (t.apply.some((a) => a.tenure !== undefined && !this.leases.has(a.tenure)))
       return { status: 400, body: { error: 'no such lease' } };
     const failed = t.guards.filter((g) => (this.kv.get(g.key)?.stamp ?? 0) !== g.stamp).map((g) => g.key);
-    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.ledger } };
-    this.ledger++;
+    if (failed.length > 0) return { status: 409, body: { failed, ledger: this.revision } };
+    this.revision++;
     for (const a of t.apply)
       if (a.write !== undefined) this.change(a.write, a.data, false, a.tenure);
       else this.change(a.remove!, undefined, true);
-    return { status: 200, body: { ledger: this.ledger } };
+    return { status: 200, body: { ledger: this.revision } };
   }
 
   private watch(from: string, url: URL): Promise<HttpResponse> {
@@ -162,12 +162,12 @@
     return new Promise((resolve) => {
       const look = (): void => {
         const news = this.news.filter((n) => n.stamp > after && n.key.startsWith(under));
-        const quiet = this.down || this.refusedTo.has(from);
+        const quiet = this.down || this.refusedNodes.has(from);
         if (!quiet && (news.length > 0 || this.time.now >= until)) {
           resolve({
             status: 200,
             body: {
-              ledger: this.ledger,
+              ledger: this.revision,
               news: news.map((n) =>
                 n.removed
                   ? { remove: n.key, stamp: n.stamp }
--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -1,6 +1,6 @@
 import type { HttpResponse, HttpCall } from '../../src/io/http-client.js';
 import type { MachineType } from '../../src/core/types.js';
-import type { Checker, JobOnWire, Place } from './checker.js';
+import type { Checker, JobOnWire, MachineInfo } from './checker.js';
 import type { VirtualTime } from './clock.js';
 
 export interface WorkerTask {
@@ -23,7 +23,7 @@
   leeway_s?: number;
 }
 
-export interface WorkerWorld {
+export interface WorkerEnvironment {
   time: VirtualTime;
   random: () => number;
   checker: Checker;
@@ -39,12 +39,12 @@
 export class FakeWorker {
   session = 1;
   /** The highest seen. */
-  token = 0;
+  highestFence = 0;
   tasks = new Map<string, WorkerTask>();
   alive = true;
-  faulty = false;
-  slow = 1;
-  notice: number | null = null;
+  failsTasks = false;
+  fetchTimeFactor = 1;
+  reclaimNoticeS: number | null = null;
   private seq = 0;
   private began: number;
   private lastAnswered: number | null = null;
@@ -56,10 +56,10 @@
   private readonly images = new Set<string>();
 
   constructor(
-    readonly place: Place,
+    readonly place: MachineInfo,
     readonly addr: string,
     private readonly call: HttpCall,
-    private readonly w: WorkerWorld,
+    private readonly w: WorkerEnvironment,
   ) {
     this.began = w.time.now;
     this.node = Math.floor(w.random() * w.nodes.length);
@@ -67,7 +67,7 @@
     this.leaseWatch();
   }
 
-  die(): void {
+  terminate(): void {
     this.alive = false;
     for (const t of this.tasks.values()) this.leave(t, false);
     this.tasks.clear();
@@ -90,7 +90,7 @@
 
   private checkLease(): void {
     if (this.alive && this.w.time.now - (this.lastAnswered ?? this.began) > this.w.settings.lease_s * 1000)
-      this.nextSession();
+      this.startNewSession();
   }
 
   /** Looks when the lease would be over, and again when it was renewed meanwhile. */
@@ -105,7 +105,7 @@
   }
 
   /** The lease is over, or the machine is back after a restart. */
-  nextSession(): void {
+  startNewSession(): void {
     for (const t of this.tasks.values()) this.leave(t, false);
     this.tasks.clear();
     this.session++;
@@ -124,7 +124,7 @@
     if (!this.inFlight) this.schedule(Math.max(5, this.lastReport + 500 - this.w.time.now));
   }
 
-  body(): object {
+  reportBody(): object {
     return {
       mount: this.place.id,
       addr: this.addr,
@@ -133,8 +133,8 @@
       loaners: this.place.spot,
       stint: this.session,
       tally: ++this.seq,
-      warrant: this.token,
-      recall_s: this.notice,
+      warrant: this.highestFence,
+      recall_s: this.reclaimNoticeS,
       shifts: [...this.tasks.values()].map((t) => ({
         shift: `${t.job.name_id}/${t.task}`,
         try: t.attempt,
@@ -153,14 +153,14 @@
     const sent = (this.lastReport = time.now);
     const session = this.session;
     const to = nodes[this.node]!;
-    const a = await this.call(to.address, 'POST', '/hello', this.body(), 4000);
+    const a = await this.call(to.address, 'POST', '/hello', this.reportBody(), 4000);
     this.inFlight = false;
     if (!this.alive) return;
     let next = settings.report_s * 1000 * (0.75 + random() * 0.5);
     if (a?.status === 200) {
       const b = a.body as { warrant?: number; orders?: Order[] };
-      if (b.warrant !== undefined && b.warrant >= this.token && session === this.session) {
-        this.token = b.warrant;
+      if (b.warrant !== undefined && b.warrant >= this.highestFence && session === this.session) {
+        this.highestFence = b.warrant;
         this.lastAnswered = sent;
         this.execute(b.orders ?? []);
       }
@@ -181,13 +181,14 @@
 
   handle(path: string, body: unknown): HttpResponse | null {
     if (!this.alive) return null;
-    if (path === '/show') return { status: 200, body: this.body() };
+    if (path === '/show') return { status: 200, body: this.reportBody() };
     const b = body as { warrant?: number; stint?: number; orders?: Order[] };
     if (b.warrant === undefined || b.stint === undefined) return { status: 400, body: {} };
-    if (b.warrant < this.token || b.stint !== this.session) return { status: 409, body: this.body() };
-    this.token = b.warrant;
+    if (b.warrant < this.highestFence || b.stint !== this.session)
+      return { status: 409, body: this.reportBody() };
+    this.highestFence = b.warrant;
     this.execute(b.orders ?? []);
-    return { status: 200, body: this.body() };
+    return { status: 200, body: this.reportBody() };
   }
 
   private execute(orders: Order[]): void {
@@ -221,18 +222,22 @@
     const mem = live.reduce((a, x) => a + x.job.mem_gb, job.mem_gb);
     if (cpus > type.cpus + 1e-6 || mem > type.mem + 1e-6) return this.exit(t, 'full');
     this.changed();
-    this.later(t, this.images.has(job.kit) ? 5 : (job.image_gb / type.fetch) * 1000 * this.slow, () => {
-      this.images.add(job.kit);
-      this.w.checker.start(job.name_id, t.task, this.place);
-      if (this.faulty || this.w.failing.has(job.name_id))
-        return this.later(t, 1000, () => this.exit(t, 'error', true));
-      if (job.shape === 'ensemble') {
-        t.standing = 'waiting';
-        this.changed();
-        this.later(t, this.w.settings.gang_wait_s * 1000, () => this.exit(t, 'incomplete', true));
-        this.gangMayStart(t);
-      } else this.run(t);
-    });
+    this.later(
+      t,
+      this.images.has(job.kit) ? 5 : (job.image_gb / type.fetch) * 1000 * this.fetchTimeFactor,
+      () => {
+        this.images.add(job.kit);
+        this.w.checker.start(job.name_id, t.task, this.place);
+        if (this.failsTasks || this.w.failing.has(job.name_id))
+          return this.later(t, 1000, () => this.exit(t, 'error', true));
+        if (job.shape === 'ensemble') {
+          t.standing = 'waiting';
+          this.changed();
+          this.later(t, this.w.settings.gang_wait_s * 1000, () => this.exit(t, 'incomplete', true));
+          this.gangMayStart(t);
+        } else this.run(t);
+      },
+    );
   }
 
   private later(t: WorkerTask, ms: number, run: () => void): void {
@@ -305,7 +310,7 @@
   }
 
   /** What the machine has free. */
-  get free(): { place: Place; cpus: number; mem: number } {
+  get freeResources(): { place: MachineInfo; cpus: number; mem: number } {
     const type = this.w.type(this.place.type);
     const live = [...this.tasks.values()].filter((t) => t.standing !== 'ended');
     const sum = (of: (j: JobOnWire) => number): number => live.reduce((a, t) => a + of(t.job), 0);
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -17,7 +17,7 @@
 import { NodeClock, VirtualTime } from './clock.js';
 import { FakeNetwork } from './network.js';
 import { FakeStateService } from './state-service.js';
-import { FakeWorker, type WorkerWorld } from './worker.js';
+import { FakeWorker, type WorkerEnvironment } from './worker.js';
 
 export const silent: Logger = { info: () => {}, debug: () => {}, error: () => {}, warn: () => {} };
 
@@ -88,9 +88,9 @@
   /** What each job's tasks take, by the job's name. */
   runMs: (j: JobOnWire) => number = (j) => j.reckon_s * 1000;
   /** How many times as long as usual a machine fetches images. */
-  fetchTimes: (machine: string) => number = () => 1;
+  fetchTimeFactor: (machine: string) => number = () => 1;
   /** Jobs submitted with a mistake: their tasks fail on every machine. */
-  readonly failing = new Set<string>();
+  readonly failingJobs = new Set<string>();
   private readonly rng;
   private ids = 1;
 
@@ -109,7 +109,7 @@
       types,
       s.workers.cancel_s * 1000,
     );
-    const ww: WorkerWorld = {
+    const ww: WorkerEnvironment = {
       time: this.time,
       random: () => this.random(),
       checker: this.checker,
@@ -118,7 +118,7 @@
       runMs: (j) => this.runMs(j),
       workers: this.workers,
       settings: s.workers,
-      failing: this.failing,
+      failing: this.failingJobs,
     };
     this.cloud = new FakeCloud(
       this.time,
@@ -133,7 +133,7 @@
           this.network.caller(p.id, () => true),
           ww,
         );
-        w.slow = this.fetchTimes(p.id);
+        w.fetchTimeFactor = this.fetchTimeFactor(p.id);
         this.workers.set(p.id, w);
         this.network.listen(addr, (_m, path, body) => w.handle(path, body));
         return w;
@@ -143,7 +143,7 @@
     this.network.listen('cloud:1', (m, p, b) => this.cloud.handle(m, p, b));
     for (let i = 0; i < 3; i++) {
       this.nodes.push({ name: `n${i}`, controller: null as never, clock: null as never, runs: 0 });
-      this.boot(i);
+      this.startNode(i);
     }
   }
 
@@ -152,7 +152,7 @@
   }
 
   /** Starts a node's process; a former run of it must have been crashed. */
-  boot(i: number): void {
+  startNode(i: number): void {
     const here = this.nodes[i]!;
     const name = here.name;
     const run = `${name}-${++here.runs}`;
@@ -238,7 +238,7 @@
     here.clock.dead = true;
     this.network.close(`${here.name}:80`);
     this.network.close(`${here.name}:81`);
-    this.time.after(backMs, () => this.boot(i));
+    this.time.after(backMs, () => this.startNode(i));
   }
 
   /** A node's process stands still while its clocks run on. */
@@ -258,7 +258,7 @@
   }
 
   async started(): Promise<void> {
-    await this.time.until(() => this.leader() >= 0, 10_000);
+    await this.time.runUntil(() => this.leader() >= 0, 10_000);
     await this.time.run(2000);
   }
 
@@ -304,7 +304,7 @@
       if ('error' in r) return { status: 400 };
       spec = r.spec;
     }
-    if (kind === 'withdraw') this.checker.willWithdraw(id);
+    if (kind === 'withdraw') this.checker.cancellationRequested(id);
     const answer = c.requests.answer({ kind, job: id as JobId, spec }).then((r) => ({
       status: r.status,
       standing: (r.body as { standing?: string }).standing,
@@ -343,7 +343,7 @@
     void poll();
   }
 
-  allOver(): boolean {
+  allJobsFinished(): boolean {
     const ids = this.checker.accepted();
     return ids.length > 0 && ids.every((i) => ['done', 'aborted'].includes(this.checker.standing(i)!));
   }
--- a/test/hand-over.test.ts
+++ b/test/hand-over.test.ts
@@ -22,7 +22,7 @@
 };
 
 const nextLeader = async (world: World, former: number): Promise<number> => {
-  await world.time.until(() => world.leader() >= 0 && world.leader() !== former, 10_000);
+  await world.time.runUntil(() => world.leader() >= 0 && world.leader() !== former, 10_000);
   return world.leader();
 };
 
--- a/test/large-sites.test.ts
+++ b/test/large-sites.test.ts
@@ -34,14 +34,15 @@
       world.time.after(wave, () => {
         const machines = [...world.workers.keys()];
         for (let i = 0; i < machines.length; i += 5)
-          world.cloud.lose(machines[i]!, i % 2 ? 'failed' : 'missing');
+          world.cloud.failMachine(machines[i]!, i % 2 ? 'failed' : 'missing');
       });
     world.time.after(12_000, () => world.crash(world.leader(), 5000));
     await expectAllOver(world, 300);
     await expectAllAnswered(world);
-    expect(world.state.over).toBe(0);
+    expect(world.state.rateLimited).toBe(0);
     // Calls to workers use at most a twelfth of the sockets, however many machines a record names.
-    for (const n of [0, 1, 2]) expect(world.network.calls.get(`n${n}`)?.most ?? 0).toBeLessThanOrEqual(141);
+    for (const n of [0, 1, 2])
+      expect(world.network.callsToWorkers.get(`n${n}`)?.most ?? 0).toBeLessThanOrEqual(141);
   }, 120_000);
 
   it('another controller leads while half the machines and the leader are cut off for a minute', async () => {
@@ -79,8 +80,8 @@
   it('a large job of low priority starts within four minutes under overload', async () => {
     const world = new World(73);
     for (const zone of ['a', 'b']) {
-      world.cloud.room.set(`box|${zone}|true`, 0);
-      world.cloud.room.set(`box|${zone}|false`, 2);
+      world.cloud.capacity.set(`box|${zone}|true`, 0);
+      world.cloud.capacity.set(`box|${zone}|false`, 2);
     }
     await world.started();
     for (let i = 0; i < 150; i++)
@@ -89,7 +90,7 @@
     const low = world.job({ urgency: 'low', shifts: 60, cpus: 2, reckon_s: 10 });
     world.user(low);
     let hasStarted = false;
-    await world.time.until(() => (hasStarted ||= world.checker.started(low.name_id) > 0), 240_000);
+    await world.time.runUntil(() => (hasStarted ||= world.checker.startCountOf(low.name_id) > 0), 240_000);
     expect(hasStarted).toBe(true);
     await expectAllOver(world, 900);
   });
--- a/test/late-requests.test.ts
+++ b/test/late-requests.test.ts
@@ -1,6 +1,6 @@
 /** A request without an answer may be carried out long after its retry was answered. */
 import { describe, expect, it } from 'vitest';
-import { expectAllAnswered, expectAllOver, holdFirstCopies, startWorld } from './fakes/scenarios.js';
+import { expectAllAnswered, expectAllOver, delayFirstCopies, startWorld } from './fakes/scenarios.js';
 import { box, World } from './fakes/world.js';
 
 const rentalKey = (address: string, body: unknown): string | null =>
@@ -11,19 +11,19 @@
 /** Sets how many machines of each kind the cloud has left in each zone. */
 const setCapacity = (world: World, machines: number): void => {
   for (const zone of ['a', 'b'])
-    for (const spot of [true, false]) world.cloud.room.set(`box|${zone}|${spot}`, machines);
+    for (const spot of [true, false]) world.cloud.capacity.set(`box|${zone}|${spot}`, machines);
 };
 
 /** Delays each of a node's renewals on its way to the state service, from now on. */
 const delayRenewals = (world: World, node: number, ms: number): void => {
-  world.network.holds = (address, _body, path) =>
+  world.network.requestDelayMs = (address, _body, path) =>
     address === `state-for-n${node}:1` && path.endsWith('/touch') ? ms : 0;
 };
 
 describe('a rental that is carried out late', () => {
   it('after its retry was answered rents nothing more', async () => {
     const world = await startWorld(260);
-    const held = holdFirstCopies(world, 30_000, rentalKey);
+    const held = delayFirstCopies(world, 30_000, rentalKey);
     world.user(world.job({ shifts: 12, reckon_s: 20 }));
     await expectAllOver(world, 200);
     expect(held.size).toBeGreaterThan(0);
@@ -35,7 +35,7 @@
     const world = new World(261, [box]);
     setCapacity(world, 0);
     await world.started();
-    const held = holdFirstCopies(world, 20_000, rentalKey);
+    const held = delayFirstCopies(world, 20_000, rentalKey);
     world.user(world.job({ shifts: 12, reckon_s: 20 }));
     await world.time.run(15_000);
     expect(held.size).toBeGreaterThan(0);
@@ -49,7 +49,7 @@
 describe('a return that is carried out late', () => {
   it('after its retry was answered removes no machine that is in use', async () => {
     const world = await startWorld(262);
-    const held = holdFirstCopies(world, 40_000, returnKey);
+    const held = delayFirstCopies(world, 40_000, returnKey);
     for (let i = 0; i < 4; i++)
       world.time.after(i * 90_000, () => world.user(world.job({ shifts: 6, reckon_s: 20 })));
     await world.time.run(280_000);
@@ -71,7 +71,7 @@
     await world.time.run(7500);
     expect(world.leader()).not.toBe(initialLeader);
     expect(world.leader()).toBeGreaterThanOrEqual(0);
-    world.network.holds = () => 0;
+    world.network.requestDelayMs = () => 0;
     await expectAllAnswered(world);
     await expectAllOver(world, 300);
   });
--- a/test/lease.test.ts
+++ b/test/lease.test.ts
@@ -108,7 +108,7 @@
   ): Promise<TransactionResult> => {
     let result: TransactionResult | null = null;
     void next.then((settled) => (result = settled));
-    await time.until(() => result !== null, 10_000);
+    await time.runUntil(() => result !== null, 10_000);
     return result!;
   };
 
--- a/test/lock.property.test.ts
+++ b/test/lock.property.test.ts
@@ -82,12 +82,12 @@
   if (fault.kind === 'cut')
     world.network.cut(name, `state-for-${name}:1`, fault.durationMs, fault.delayMs > 2000);
   if (fault.kind === 'refused') {
-    world.state.refusedTo.add(name);
-    world.time.after(fault.durationMs, () => world.state.refusedTo.delete(name));
+    world.state.refusedNodes.add(name);
+    world.time.after(fault.durationMs, () => world.state.refusedNodes.delete(name));
   }
   if (fault.kind === 'late writes') {
-    world.state.lateMs = () => (world.random() < 0.4 ? fault.delayMs : 0);
-    world.time.after(fault.durationMs, () => (world.state.lateMs = () => 0));
+    world.state.transactionDelayMs = () => (world.random() < 0.4 ? fault.delayMs : 0);
+    world.time.after(fault.durationMs, () => (world.state.transactionDelayMs = () => 0));
   }
 };
 
@@ -97,8 +97,8 @@
   const monitor = new LeadershipMonitor(world, SAMPLE_MS);
   const requests: Slowdown[] = [];
   const answers: Slowdown[] = [];
-  world.network.holds = (address, _body, path) => currentDelayMs(world, requests, address, path);
-  world.network.holdsAnswer = (address, path) => currentDelayMs(world, answers, address, path);
+  world.network.requestDelayMs = (address, _body, path) => currentDelayMs(world, requests, address, path);
+  world.network.responseDelayMs = (address, path) => currentDelayMs(world, answers, address, path);
   for (const fault of faults) {
     const node = fault.node === LEADER ? Math.max(0, world.leader()) : fault.node;
     injectFault(world, { ...fault, node }, requests, answers);
--- a/test/log-writes-late.test.ts
+++ b/test/log-writes-late.test.ts
@@ -20,15 +20,16 @@
 const hold = (world: World, node: number, direction: 'requests' | 'answers', ms: number): void => {
   const heldMs = (address: string, path: string): number =>
     address === `state-for-n${node}:1` && path === '/txn' ? ms : 0;
-  if (direction === 'requests') world.network.holds = (address, _body, path) => heldMs(address, path);
-  else world.network.holdsAnswer = heldMs;
+  if (direction === 'requests')
+    world.network.requestDelayMs = (address, _body, path) => heldMs(address, path);
+  else world.network.responseDelayMs = heldMs;
 };
 
 /** Submits a job; whether it is accepted within the time. */
 const acceptedWithin = async (world: World, boundMs: number): Promise<boolean> => {
   const job = world.job({ shifts: 3, reckon_s: 10 });
   world.user(job);
-  return world.time.until(() => world.checker.accepted().includes(job.name_id), boundMs);
+  return world.time.runUntil(() => world.checker.accepted().includes(job.name_id), boundMs);
 };
 
 describe("a leader's log writes", () => {
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -48,7 +48,7 @@
     expect(urgentSettledAt).toBeLessThanOrEqual(40);
     expect(restSettledAt).toBeLessThan(700);
     expect(Math.max(...transactions)).toBeGreaterThan(3);
-    expect(service.over).toBe(0);
+    expect(service.rateLimited).toBe(0);
   });
 
   it('gets the return of a thousand machines in entries that each fit into a record', () => {
--- a/test/machine-failures.test.ts
+++ b/test/machine-failures.test.ts
@@ -5,7 +5,7 @@
   expectAllOver,
   resolved,
   startWorld,
-  work,
+  submitWork,
 } from './fakes/scenarios.js';
 import { box, World } from './fakes/world.js';
 
@@ -16,9 +16,9 @@
     world.user(world.job({ shape: 'ensemble', shifts: 2, cpus: 5, reckon_s: 40 }));
     await world.time.run(25_000);
     const ids = [...world.workers.keys()];
-    world.cloud.lose(ids[0]!, 'failed');
-    world.cloud.lose(ids[1]!, 'missing');
-    world.workers.get(ids[2]!)!.faulty = true;
+    world.cloud.failMachine(ids[0]!, 'failed');
+    world.cloud.failMachine(ids[1]!, 'missing');
+    world.workers.get(ids[2]!)!.failsTasks = true;
     await expectAllOver(world, 300);
   });
 
@@ -30,8 +30,8 @@
     const saved = new Set<string>();
     const doomed = [...world.workers.values()];
     for (const worker of doomed) {
-      worker.notice = 8;
-      world.time.after(8000, () => world.cloud.lose(worker.place.id, 'missing'));
+      worker.reclaimNoticeS = 8;
+      world.time.after(8000, () => world.cloud.failMachine(worker.place.id, 'missing'));
     }
     for (let i = 0; i < 80; i++) {
       await world.time.run(100);
@@ -47,7 +47,7 @@
     const world = await startWorld(21);
     world.user(world.job({ shifts: 20, reckon_s: 40 }));
     await world.time.run(25_000);
-    for (const id of [...world.workers.keys()].slice(0, 3)) world.cloud.lose(id, 'missing');
+    for (const id of [...world.workers.keys()].slice(0, 3)) world.cloud.failMachine(id, 'missing');
     await expectAllOver(world, 300);
   });
 
@@ -56,7 +56,7 @@
     for (let i = 0; i < 3; i++) world.user(world.job({ shifts: 1, cpus: 8, reckon_s: 100 }));
     await world.time.run(25_000);
     const bad = world.job({ shifts: 1, cpus: 1 });
-    world.failing.add(bad.name_id);
+    world.failingJobs.add(bad.name_id);
     world.user(bad, 80_000);
     const before = world.checker.starts;
     await world.time.run(80_000);
@@ -84,7 +84,7 @@
     for (let i = 0; i < 60; i++) world.user(world.job({ shifts: 3, reckon_s: 20 }));
     await world.time.run(20_000);
     const one = [...world.workers.keys()][0]!;
-    world.network.deafen(one, 1e9);
+    world.network.dropIncoming(one, 1e9);
     // With the leader as the only node, all reports of the machine reach it.
     for (let n = 0; n < 3; n++) if (n !== world.leader()) world.crash(n, 100_000);
     await world.time.run(60_000);
@@ -94,14 +94,14 @@
 
   it('delayed copies of reports revive no machine and undo no end, across a take-over and returns of machines', async () => {
     const world = new World(51);
-    world.network.copies = 1;
-    world.network.copyMs = () => 20_000;
+    world.network.duplicateShare = 1;
+    world.network.duplicateDelayMs = () => 20_000;
     await world.started();
     world.user(world.job({ shifts: 16, reckon_s: 12 }));
     world.user(world.job({ shape: 'ensemble', shifts: 2, cpus: 6, reckon_s: 30 }));
     await world.time.run(25_000);
     const gone = [...world.workers.keys()][0]!;
-    world.cloud.lose(gone, 'missing');
+    world.cloud.failMachine(gone, 'missing');
     world.crash(world.leader(), 300);
     await world.time.run(22_000);
     const leader = world.nodes[world.leader()]!.controller;
@@ -139,7 +139,7 @@
     world.user(world.job({ shifts: 8, reckon_s: 30 }));
     world.user(world.job({ shape: 'ensemble', shifts: 2, cpus: 6, reckon_s: 30 }));
     await world.time.run(25_000);
-    for (const worker of [...world.workers.values()].slice(0, 2)) worker.nextSession();
+    for (const worker of [...world.workers.values()].slice(0, 2)) worker.startNewSession();
     world.crash(world.leader(), 200);
     await expectAllOver(world, 200);
   });
@@ -148,12 +148,12 @@
 describe('machine failures coincide with other faults', () => {
   it('machines whose reports are lost but that direct calls reach end cancelled tasks and are returned', async () => {
     const world = await startWorld(230);
-    const { doomed } = work(world);
+    const { doomed } = submitWork(world);
     await world.time.run(28_000);
     const mute = [...world.workers.keys()].slice(0, 2);
-    for (const machine of mute) world.network.mute(machine, 1e9);
+    for (const machine of mute) world.network.dropReports(machine, 1e9);
     world.crash(world.leader(), 5000);
-    await world.time.until(() => world.leader() >= 0, 8000);
+    await world.time.runUntil(() => world.leader() >= 0, 8000);
     for (const job of doomed) await cancelUntilConfirmed(world, job.name_id, () => world.leader());
     await world.time.run(3000);
     for (const machine of mute)
@@ -174,20 +174,20 @@
       .filter((machine) => machine.zone === 'b')
       .map((machine) => machine.id);
     for (const [i, machine] of zoneB.entries())
-      if (i % 3 === 0) world.cloud.lose(machine, 'missing');
+      if (i % 3 === 0) world.cloud.failMachine(machine, 'missing');
       else world.network.cut(machine, '*', 20_000, true);
     world.time.after(3000, () => world.crash(world.leader(), 300));
     await world.time.run(40_000);
     for (let i = 0; i < 20; i++) {
       await world.time.run(6000);
-      world.checker.waits([...world.workers.values()].map((worker) => worker.free));
+      world.checker.checkWaiting([...world.workers.values()].map((worker) => worker.freeResources));
     }
     await expectAllOver(world, 300);
   });
 
   it('with more work than capacity and slow links, stops of cancelled jobs are sent first', async () => {
     const world = new World(232, [box], { machine_limits: { sockets: 100 } });
-    for (const z of ['a', 'b']) world.cloud.room.set(`box|${z}|false`, 4);
+    for (const z of ['a', 'b']) world.cloud.capacity.set(`box|${z}|false`, 4);
     await world.started();
     const low = world.job({ urgency: 'low', shifts: 30, cpus: 1, reckon_s: 300 });
     world.user(low);
@@ -205,7 +205,7 @@
 
   it('reports are held back until a new leader acts, and old ones arrive after newer ones, also of earlier attempts', async () => {
     const world = new World(233);
-    world.network.copies = 0.5;
+    world.network.duplicateShare = 0.5;
     await world.started();
     world.user(world.job({ shifts: 12, reckon_s: 15 }));
     world.user(world.job({ shape: 'ensemble', shifts: 2, cpus: 6, reckon_s: 25 }));
@@ -213,7 +213,7 @@
     const formerLeader = world.leader();
     for (const machine of world.workers.keys()) world.network.cut(machine, `n${formerLeader}:80`, 9000, true);
     world.crash(formerLeader, 4000);
-    for (const worker of [...world.workers.values()].slice(0, 2)) worker.nextSession();
+    for (const worker of [...world.workers.values()].slice(0, 2)) worker.startNewSession();
     await expectAllOver(world, 300);
     await expectAllAnswered(world);
   });
@@ -222,12 +222,12 @@
 describe('machines that come up late or never', () => {
   it('are replaced once, and returned or used if they come up after all', async () => {
     const world = new World(310);
-    world.cloud.bootTimes = (i) => (i < 3 ? Infinity : i === 3 ? 8 : 1);
+    world.cloud.bootTimeFactor = (i) => (i < 3 ? Infinity : i === 3 ? 8 : 1);
     await world.started();
     world.user(world.job({ shifts: 16, cpus: 2, reckon_s: 20 }));
     await expectAllOver(world, 150);
     // Four machines hold the job; three never came up, and one came up late.
-    expect(world.cloud.rentals).toBeLessThanOrEqual(9);
+    expect(world.cloud.rentedMachines).toBeLessThanOrEqual(9);
     await world.time.run(120_000);
     expect(world.cloud.machines.size).toBe(0);
   });
@@ -239,10 +239,10 @@
   for (const times of [4, 6, 9])
     it(`after ${times} times the nominal boot time: they are waited for and replaced once`, async () => {
       const world = new World(311, [{ ...box, boot: 20 }]);
-      world.cloud.bootTimes = () => times;
+      world.cloud.bootTimeFactor = () => times;
       await world.started();
       world.user(world.job({ shifts: 16, cpus: 2, reckon_s: 20 }));
       await expectAllOver(world, 60 + times * 20);
-      expect(world.cloud.rentals).toBeLessThanOrEqual(8);
+      expect(world.cloud.rentedMachines).toBeLessThanOrEqual(8);
     });
 });
--- a/test/random-troubles.test.ts
+++ b/test/random-troubles.test.ts
@@ -6,8 +6,8 @@
   for (let seed = 100; seed < 118; seed++)
     it(`mix ${seed}`, async () => {
       const w = new World(seed);
-      w.cloud.neverUp = 0.1;
-      w.network.copies = seed % 2 ? 0.2 : 0;
+      w.cloud.bootFailureRate = 0.1;
+      w.network.duplicateShare = seed % 2 ? 0.2 : 0;
       await w.started();
       for (let i = 0; i < 14; i++)
         w.time.after(w.random() * 100_000, () => {
@@ -46,9 +46,9 @@
           }
           if (kind === 5 && m) w.network.cut(m, '*', 20_000, true);
           if (kind === 6 && m) w.network.cut(`${m}:9000`, '*', 20_000, true);
-          if (kind === 7 && m) w.cloud.lose(m, w.random() < 0.5 ? 'failed' : 'missing');
+          if (kind === 7 && m) w.cloud.failMachine(m, w.random() < 0.5 ? 'failed' : 'missing');
           if (kind === 8) w.cloud.outage(15_000);
-          if (kind === 9 && m) w.network.deafen(m, 5000 + w.random() * 30_000);
+          if (kind === 9 && m) w.network.dropIncoming(m, 5000 + w.random() * 30_000);
           if (kind === 10) {
             w.network.cut(`n${node}`, `state-for-n${node}:1`, 20_000);
             w.network.cut(`n${node}:81`, '*', 20_000);
@@ -61,7 +61,7 @@
             w.network.partition(its, 20_000 + w.random() * 30_000, w.random() < 0.5);
           }
           if (kind === 14) for (const n of [0, 1, 2]) w.network.cut(`n${n}:81`, '*', 25_000);
-          if (kind === 11 && m) w.workers.get(m)?.nextSession();
+          if (kind === 11 && m) w.workers.get(m)?.startNewSession();
         });
       await w.time.run(130_000);
       await expectAllAnswered(w);
--- a/test/scheduling.test.ts
+++ b/test/scheduling.test.ts
@@ -21,7 +21,7 @@
     expect(world.checker.standing('wk-000002')).toBe('done');
     await world.time.run(150_000);
     expect(world.cloud.machines.size).toBe(0);
-    expect(world.state.over).toBe(0);
+    expect(world.state.rateLimited).toBe(0);
   });
 
   it('refuses jobs that can never run, and accepts a repeated submission once', async () => {
@@ -42,10 +42,10 @@
 describe('gangs', () => {
   it('start when the slowest machine has fetched its image', async () => {
     const world = new World(63);
-    for (const zone of ['a', 'b']) world.cloud.room.set(`box|${zone}|true`, 0);
-    world.cloud.room.set('box|a|false', 3);
-    world.cloud.room.set('box|b|false', 0);
-    world.fetchTimes = (m) => (m === 'vm-000002' ? 60 : 1);
+    for (const zone of ['a', 'b']) world.cloud.capacity.set(`box|${zone}|true`, 0);
+    world.cloud.capacity.set('box|a|false', 3);
+    world.cloud.capacity.set('box|b|false', 0);
+    world.fetchTimeFactor = (m) => (m === 'vm-000002' ? 60 : 1);
     await world.started();
     const gang = world.job({ shape: 'ensemble', shifts: 3, cpus: 8, urgency: 'high', reckon_s: 10 });
     world.user(gang);
@@ -64,8 +64,8 @@
     it(`of several whole machines do not starve behind small jobs, seed ${seed}`, async () => {
       const world = new World(seed);
       for (const zone of ['a', 'b']) {
-        world.cloud.room.set(`box|${zone}|true`, 0);
-        world.cloud.room.set(`box|${zone}|false`, zone === 'a' ? 5 : 3);
+        world.cloud.capacity.set(`box|${zone}|true`, 0);
+        world.cloud.capacity.set(`box|${zone}|false`, zone === 'a' ? 5 : 3);
       }
       await world.started();
       for (let i = 0; i < 90; i++)
@@ -90,13 +90,13 @@
     await world.time.run(9000);
     world.cloud.outage(10_000);
     await expectAllOver(world, 200);
-    expect(world.cloud.rentals).toBeLessThanOrEqual(4);
+    expect(world.cloud.rentedMachines).toBeLessThanOrEqual(4);
   });
 
   it('is asked for on-demand machines and for other zones when it has none to rent', async () => {
     const world = new World(31);
-    for (const zone of ['a', 'b']) world.cloud.room.set(`box|${zone}|true`, 0);
-    world.cloud.room.set('box|a|false', 1);
+    for (const zone of ['a', 'b']) world.cloud.capacity.set(`box|${zone}|true`, 0);
+    world.cloud.capacity.set('box|a|false', 1);
     await world.started();
     world.user(world.job({ shifts: 12, cpus: 2 }));
     await expectAllOver(world, 200);
@@ -116,7 +116,7 @@
     world.user(gang);
     await world.time.run(45_000);
     expect(world.checker.standing(gang.name_id)).toBe('done');
-    expect(world.state.over).toBe(0);
+    expect(world.state.rateLimited).toBe(0);
     await expectAllOver(world, 1200);
   });
 
@@ -135,8 +135,8 @@
   it('borrows resources, yields to guarantees, and has small jobs served beside a huge array', async () => {
     const world = new World(300, [box], { teams });
     for (const zone of ['a', 'b']) {
-      world.cloud.room.set(`box|${zone}|true`, 2);
-      world.cloud.room.set(`box|${zone}|false`, 4);
+      world.cloud.capacity.set(`box|${zone}|true`, 2);
+      world.cloud.capacity.set(`box|${zone}|false`, 4);
     }
     await world.started();
     const guest = { desk: 'guests', urgency: 'low', cpus: 0.25, mem_gb: 0.5, image_gb: 0.5 };
@@ -154,10 +154,10 @@
     expect(world.checker.standing(gang.name_id)).toBe('done');
     await world.time.run(60_000);
     // The team's own small jobs do not wait until the huge array is done.
-    const started = singles.filter((job) => world.checker.started(job.name_id) > 0).length;
+    const started = singles.filter((job) => world.checker.startCountOf(job.name_id) > 0).length;
     expect(started).toBeGreaterThan(30);
     await expectAllOver(world, 300);
-    expect(world.state.over).toBe(0);
+    expect(world.state.rateLimited).toBe(0);
   });
 });
 
@@ -168,19 +168,19 @@
       world.job({ shifts: 3, cpus: 1, desk: i % 2 ? 'red' : 'blue', urgency: 'high' }),
     );
     for (const job of failing) {
-      world.failing.add(job.name_id);
+      world.failingJobs.add(job.name_id);
       world.user(job, 90_000);
     }
     const healthy = Array.from({ length: 10 }, () => world.job({ shifts: 4, reckon_s: 15 }));
     for (const [i, job] of healthy.entries()) world.time.after(i * 5000, () => world.user(job));
     await world.time.run(40_000);
-    const faulty = [...world.cloud.machines.values()].filter((m) => world.workers.get(m.id)?.faulty);
+    const faulty = [...world.cloud.machines.values()].filter((m) => world.workers.get(m.id)?.failsTasks);
     expect(faulty).toEqual([]);
     await world.time.run(45_000);
     for (const job of healthy) expect(world.checker.standing(job.name_id)).toBe('done');
     for (const job of failing) expect(world.checker.standing(job.name_id)).toBe('accepted');
     // Restarts back off: without that, each task would start about once per second.
-    for (const job of failing) expect(world.checker.started(job.name_id)).toBeLessThan(40);
+    for (const job of failing) expect(world.checker.startCountOf(job.name_id)).toBeLessThan(40);
     await expectAllOver(world, 200);
   });
 });
--- a/test/slow-state-service.test.ts
+++ b/test/slow-state-service.test.ts
@@ -57,8 +57,9 @@
     if (!isAffected || (scope === 'renewals' && !path.endsWith('/touch'))) return 0;
     return jitter ? ms * (0.5 + world.random()) : ms;
   };
-  if (direction === 'requests') world.network.holds = (address, _body, path) => delayMs(address, path);
-  else world.network.holdsAnswer = delayMs;
+  if (direction === 'requests')
+    world.network.requestDelayMs = (address, _body, path) => delayMs(address, path);
+  else world.network.responseDelayMs = delayMs;
 };
 
 const termOf = (world: World): number => (world.state.kv.get('q/term')?.data as { term: number }).term;
@@ -94,8 +95,8 @@
   slowDown(world, node, slowness);
   await world.time.run(WATCHED_MS);
   const during = monitor.stop();
-  world.network.holds = () => 0;
-  world.network.holdsAnswer = () => 0;
+  world.network.requestDelayMs = () => 0;
+  world.network.responseDelayMs = () => 0;
   const recoveryMonitor = new LeadershipMonitor(world);
   const leaseMs = lockLeaseDurationMs(share, WORKER_LEASE_S);
   await world.time.run(2 * leaseMs + TAKE_OVER_MS);
@@ -154,7 +155,7 @@
       await world.started();
       await world.time.run(20_000);
       const monitor = new LeadershipMonitor(world);
-      world.network.holdsAnswer = (address) =>
+      world.network.responseDelayMs = (address) =>
         address.startsWith('state-for-') && world.random() < 0.7 ? 1900 + world.random() * 500 : 0;
       await world.time.run(180_000);
       const { changes, conflicts, share } = monitor.stop();
--- a/test/state-service.test.ts
+++ b/test/state-service.test.ts
@@ -1,5 +1,5 @@
 import { describe, expect, it } from 'vitest';
-import { expectAllAnswered, expectAllOver, startWorld, work } from './fakes/scenarios.js';
+import { expectAllAnswered, expectAllOver, startWorld, submitWork } from './fakes/scenarios.js';
 
 describe('followers of the log', () => {
   it('keep up when keys are removed, compacted records among them', async () => {
@@ -19,13 +19,13 @@
 describe('the cluster survives', () => {
   it('transactions carried out late, after newer ones and after compactions: a restart loses nothing', async () => {
     const world = await startWorld(220);
-    world.state.lateMs = () => (world.random() < 0.15 ? 2000 + world.random() * 10_000 : 0);
+    world.state.transactionDelayMs = () => (world.random() < 0.15 ? 2000 + world.random() * 10_000 : 0);
     for (let i = 0; i < 110; i++) {
       world.user(world.job({ shifts: 3, reckon_s: 2 }), i % 10 === 0 ? 3000 : null);
       await world.time.run(1500);
       if (i % 40 === 39) world.crash(world.leader(), 300);
     }
-    world.state.lateMs = () => 0;
+    world.state.transactionDelayMs = () => 0;
     await world.time.run(15_000);
     expect((world.state.kv.get('q/head')?.data as { upto: number }).upto).toBeGreaterThan(200);
     for (const node of [0, 1, 2]) world.crash(node, 300 + node * 200);
@@ -40,7 +40,7 @@
     let isHeldUp = false;
     let last = 0;
     // The first copy of the second head gets no answer and is carried out after two more heads were written.
-    world.state.lateMs = (transaction) => {
+    world.state.transactionDelayMs = (transaction) => {
       const head = transaction.apply.find((operation) => operation.write === 'q/head')?.data as
         { upto: number } | undefined;
       if (head && heads.at(-1) !== head.upto) heads.push(head.upto);
@@ -68,7 +68,7 @@
 
   it('a write whose answer is lost: the leader does not contradict what followers have answered from it', async () => {
     const world = await startWorld(224);
-    world.state.loses = () => world.random() < 0.3;
+    world.state.losesResponse = () => world.random() < 0.3;
     for (let i = 0; i < 12; i++) {
       const job = world.job({ shifts: 2, reckon_s: 3 + world.random() * 5 });
       world.time.after(i * 2500, () => world.user(job, i % 4 === 0 ? 9000 : null));
@@ -79,13 +79,13 @@
         );
     }
     await world.time.run(90_000);
-    world.state.loses = () => false;
+    world.state.losesResponse = () => false;
     await expectAllOver(world, 200);
   });
 
   it('ten changes of the leader in two minutes, some during an outage, some with a restart after 200 ms', async () => {
     const world = await startWorld(221);
-    const { doomed } = work(world);
+    const { doomed } = submitWork(world);
     for (const job of doomed) world.user(job, 40_000);
     await world.time.run(20_000);
     const terms: number[] = [];
@@ -105,7 +105,7 @@
   it('a crash of all controllers in the middle of an election and their restart within 350 ms', async () => {
     for (const after of [2300, 2450, 2550, 2700]) {
       const world = await startWorld(225);
-      const { doomed } = work(world);
+      const { doomed } = submitWork(world);
       for (const job of doomed) world.user(job, 40_000);
       await world.time.run(20_000);
       const former = world.leader();
--- a/test/user-requests.test.ts
+++ b/test/user-requests.test.ts
@@ -7,7 +7,7 @@
     const done = world.job({ shifts: 1, reckon_s: 2 });
     const open = world.job({ shifts: 2, reckon_s: 300 });
     for (const job of [done, open]) world.user(job);
-    await world.time.until(() => world.checker.standing(done.name_id) === 'done', 60_000);
+    await world.time.runUntil(() => world.checker.standing(done.name_id) === 'done', 60_000);
     const tooLarge = { ...world.job(), cpus: 99 };
     const askAll = async (node: number): Promise<unknown[]> => {
       const from = world.time.now;
@@ -36,7 +36,7 @@
       expect(late).toEqual([200, 'done']);
       for (const refusal of [repeat, unknown, unfit]) expect([503, 422]).toContain(refusal![0]);
     }
-    world.checker.willWithdraw(open.name_id);
+    world.checker.cancellationRequested(open.name_id);
     await world.time.run(25_000);
     await cancelUntilConfirmed(world, open.name_id, () => world.leader());
     await expectAllOver(world, 100);
@@ -50,7 +50,7 @@
     for (const job of jobs) world.user(job);
     await world.time.run(5000);
     const leader = world.leader();
-    const before = world.network.requests.get(`n${leader}:81`) ?? 0;
+    const before = world.network.requestCounts.get(`n${leader}:81`) ?? 0;
     const slowMs: number[] = [];
     const failed: number[] = [];
     let answers = 0;
@@ -66,8 +66,8 @@
     await world.time.run(11_000);
     expect([answers, slowMs, failed]).toEqual([2000, [], []]);
     // Two followers with at most one position query per 50 ms each, beside the status messages.
-    expect((world.network.requests.get(`n${leader}:81`) ?? 0) - before).toBeLessThan(600);
-    expect(world.state.over).toBe(0);
+    expect((world.network.requestCounts.get(`n${leader}:81`) ?? 0) - before).toBeLessThan(600);
+    expect(world.state.rateLimited).toBe(0);
     await expectAllOver(world, 200);
   });
 });
--- a/tools/profile/main.ts
+++ b/tools/profile/main.ts
@@ -222,7 +222,7 @@
     }
     const metrics = await metricsOf(leading);
     process.stdout.write(`\nleader's /metrics: ${JSON.stringify(metrics)}\n`);
-    for (const broken of standIns.checker.broken.slice(0, 10))
+    for (const broken of standIns.checker.violations.slice(0, 10))
       process.stdout.write(`broken rule: ${broken}\n`);
   } finally {
     running = false;
--- a/tools/profile/stand-ins.ts
+++ b/tools/profile/stand-ins.ts
@@ -126,8 +126,8 @@
       (place) => this.bootWorker(place),
       (id) => this.workers.get(id),
     );
-    this.cloud.room.set('box|a|false', size.machines);
-    this.cloud.room.set('box|a|true', 0);
+    this.cloud.capacity.set('box|a|false', size.machines);
+    this.cloud.capacity.set('box|a|true', 0);
     this.servers.push(
       listen(STATE_ADDRESS, (method, path, body, host) => this.state.handle(host, method, path, body)),
       listen(CLOUD_ADDRESS, (method, path, body) => this.cloud.handle(method, path, body)),
@@ -168,7 +168,7 @@
   /** CPUs that running and fetching tasks hold. */
   cpusHeld(): number {
     let held = 0;
-    for (const worker of this.workers.values()) held += machineType.cpus - worker.free.cpus;
+    for (const worker of this.workers.values()) held += machineType.cpus - worker.freeResources.cpus;
     return held;
   }
 
