--- a/test/fakes/checker.ts
+++ b/test/fakes/checker.ts
@@ -1,5 +1,7 @@
+/** Checks the guarantees of the service (ran_twice, ran_cancelled, forgotten, ...) during simulations. */
 import type { MachineType, Team } from '../../src/core/types.js';
 
+/** A job in the form in which users submit it. */
 export interface JobOnWire {
   name_id: string;
   duty: string;
@@ -23,6 +25,7 @@
   due_s: number | null;
 }
 
+/** A machine, as far as it matters for where a task may run. */
 export interface MachineInfo {
   id: string;
   type: string;
@@ -30,6 +33,7 @@
   spot: boolean;
 }
 
+/** Fields that an accepted job must have. */
 const FIELDS = [
   'duty',
   'desk',
@@ -49,24 +53,27 @@
   'stow_s',
 ] as const;
 
-type Told = 'accepted' | 'done' | 'aborted';
+/** What the user of a job was told. */
+type ReportedStanding = 'accepted' | 'done' | 'aborted';
 
-/** Sees what the workers do and what the users are told, and names each broken rule. */
+/** Observes what the workers run and what the users are told, and records each violation of a rule. */
 export class Checker {
+  /** One line for each violation: the rule, what was seen, and when. */
   readonly violations: string[] = [];
+  /** Number of task starts. */
   starts = 0;
-  /** Starts after a confirmed cancellation. */
+  /** Tasks, as `job/task`, that started after the cancellation of their job was confirmed. */
   readonly startsAfterCancellation: string[] = [];
-  /** Told when the last task of a job has completed. */
+  /** Called when the last task of a job has completed. */
   onJobCompleted: (id: string) => void = () => {};
   private readonly jobs = new Map<string, JobOnWire>();
-  private readonly told = new Map<string, Told>();
-  private readonly asked = new Set<string>();
-  private readonly cancelled = new Map<string, number>();
-  private readonly done = new Map<string, Set<number>>();
-  /** By job and then by job/task: the machines that hold it. */
-  private readonly present = new Map<string, Map<string, Map<string, MachineInfo>>>();
-  /** CPUs that each team's tasks hold. */
+  private readonly reportedStandings = new Map<string, ReportedStanding>();
+  private readonly cancellationRequests = new Set<string>();
+  private readonly cancelledAt = new Map<string, number>();
+  private readonly completedTasks = new Map<string, Set<number>>();
+  /** The machines on which each task runs, by job and then by `job/task`. */
+  private readonly placements = new Map<string, Map<string, Map<string, MachineInfo>>>();
+  /** CPUs in use by each team's tasks. */
   private readonly cpusUsed = new Map<string, number>();
 
   constructor(
@@ -76,178 +83,197 @@
     private readonly cancelMs: number,
   ) {}
 
-  private say(rule: string, what: string): void {
-    this.violations.push(`${rule}: ${what} at ${(this.now() / 1000).toFixed(1)} s`);
+  private report(rule: string, details: string): void {
+    this.violations.push(`${rule}: ${details} at ${(this.now() / 1000).toFixed(1)} s`);
   }
 
-  submitted(j: JobOnWire): void {
-    this.jobs.set(j.name_id, j);
+  /** Registers a job that a user submits. */
+  submitted(job: JobOnWire): void {
+    this.jobs.set(job.name_id, job);
   }
   job(id: string): JobOnWire | undefined {
     return this.jobs.get(id);
   }
+  /** A user is about to ask for the cancellation of a job. */
   cancellationRequested(id: string): void {
-    this.asked.add(id);
+    this.cancellationRequests.add(id);
   }
 
-  /** How many tasks of a job were started. */
+  /** Number of task starts of a job. */
   startCountOf(id: string): number {
-    return this.startsOf.get(id) ?? 0;
+    return this.startCounts.get(id) ?? 0;
   }
-  private readonly startsOf = new Map<string, number>();
+  private readonly startCounts = new Map<string, number>();
 
-  start(id: string, task: number, m: MachineInfo): void {
+  /** A task starts on a machine. Checks ran_twice, invented, wrong_place, quota and ran_cancelled. */
+  start(id: string, task: number, machine: MachineInfo): void {
     this.starts++;
-    this.startsOf.set(id, this.startCountOf(id) + 1);
+    this.startCounts.set(id, this.startCountOf(id) + 1);
     const key = `${id}/${task}`;
-    const others = [...(this.placesOf(id, key)?.keys() ?? [])].filter((machine) => machine !== m.id);
-    if (others.length > 0) this.say('ran_twice', `${key} on ${m.id} and ${others.join()}`);
-    this.enter(id, key, m);
-    const j = this.jobs.get(id);
-    if (!j) return this.say('invented', `${key} runs and nobody submitted it`);
-    const bad =
-      (j.breeds && !j.breeds.includes(m.type)) || (j.yard && j.yard !== m.zone) || (!j.loaners && m.spot);
+    const others = [...(this.machinesOf(id, key)?.keys() ?? [])].filter((other) => other !== machine.id);
+    if (others.length > 0) this.report('ran_twice', `${key} on ${machine.id} and ${others.join()}`);
+    this.addPlacement(id, key, machine);
+    const job = this.jobs.get(id);
+    if (!job) return this.report('invented', `${key} was started and nobody submitted it`);
+    const isForbidden =
+      (job.breeds && !job.breeds.includes(machine.type)) ||
+      (job.yard && job.yard !== machine.zone) ||
+      (!job.loaners && machine.spot);
     const zones = new Map<string, number>();
-    if (j.together || j.spread)
-      for (const places of this.present.get(id)!.values())
-        for (const p of places.values()) zones.set(p.zone, (zones.get(p.zone) ?? 0) + 1);
-    const apart = j.together && zones.size > 1;
-    const crowded = j.spread && Math.max(...zones.values()) > Math.ceil(j.shifts / 2);
-    if (bad || apart || crowded) this.say('wrong_place', `${key} on ${m.id}`);
-    const team = this.teams.find((t) => t.name === j.desk);
-    const use = this.cpusUsed.get(j.desk)!;
-    if (team && use > team.cpusMax + 1e-6) this.say('quota', `${j.desk} uses ${use}`);
-    if (this.cancelled.has(id)) this.startsAfterCancellation.push(key);
+    if (job.together || job.spread)
+      for (const machines of this.placements.get(id)!.values())
+        for (const on of machines.values()) zones.set(on.zone, (zones.get(on.zone) ?? 0) + 1);
+    const isSplit = job.together && zones.size > 1;
+    const isCrowded = job.spread && Math.max(...zones.values()) > Math.ceil(job.shifts / 2);
+    if (isForbidden || isSplit || isCrowded) this.report('wrong_place', `${key} on ${machine.id}`);
+    const team = this.teams.find((t) => t.name === job.desk);
+    const cpusInUse = this.cpusUsed.get(job.desk)!;
+    if (team && cpusInUse > team.cpusMax + 1e-6) this.report('quota', `${job.desk} uses ${cpusInUse} CPUs`);
+    if (this.cancelledAt.has(id)) this.startsAfterCancellation.push(key);
     this.checkCancelled(key, id);
   }
 
-  private placesOf(id: string, key: string): Map<string, MachineInfo> | undefined {
-    return this.present.get(id)?.get(key);
+  private machinesOf(id: string, key: string): Map<string, MachineInfo> | undefined {
+    return this.placements.get(id)?.get(key);
   }
 
-  private use(id: string, times: 1 | -1): void {
+  private addCpus(id: string, sign: 1 | -1): void {
     const job = this.jobs.get(id);
-    if (job) this.cpusUsed.set(job.desk, (this.cpusUsed.get(job.desk) ?? 0) + times * job.cpus);
+    if (job) this.cpusUsed.set(job.desk, (this.cpusUsed.get(job.desk) ?? 0) + sign * job.cpus);
   }
 
-  private enter(id: string, key: string, m: MachineInfo): void {
-    const tasks = this.present.get(id) ?? new Map<string, Map<string, MachineInfo>>();
-    this.present.set(id, tasks);
-    const places = tasks.get(key) ?? new Map<string, MachineInfo>();
-    tasks.set(key, places);
-    if (!places.has(m.id)) this.use(id, 1);
-    places.set(m.id, m);
+  private addPlacement(id: string, key: string, machine: MachineInfo): void {
+    const tasks = this.placements.get(id) ?? new Map<string, Map<string, MachineInfo>>();
+    this.placements.set(id, tasks);
+    const machines = tasks.get(key) ?? new Map<string, MachineInfo>();
+    tasks.set(key, machines);
+    if (!machines.has(machine.id)) this.addCpus(id, 1);
+    machines.set(machine.id, machine);
   }
 
-  private leave(id: string, key: string, m: MachineInfo): void {
-    const places = this.placesOf(id, key);
-    if (!places?.delete(m.id)) return;
-    this.use(id, -1);
-    if (places.size === 0) this.present.get(id)!.delete(key);
+  private removePlacement(id: string, key: string, machine: MachineInfo): void {
+    const machines = this.machinesOf(id, key);
+    if (!machines?.delete(machine.id)) return;
+    this.addCpus(id, -1);
+    if (machines.size === 0) this.placements.get(id)!.delete(key);
   }
 
   private checkCancelled(key: string, id: string): void {
-    const c = this.cancelled.get(id);
-    if (c !== undefined && this.now() > c + this.cancelMs) this.say('ran_cancelled', key);
+    const confirmedAt = this.cancelledAt.get(id);
+    if (confirmedAt !== undefined && this.now() > confirmedAt + this.cancelMs)
+      this.report('ran_cancelled', key);
   }
 
-  end(id: string, task: number, m: MachineInfo, done: boolean): void {
+  /** A task that had started ends on a machine. Checks ran_cancelled. */
+  end(id: string, task: number, machine: MachineInfo, done: boolean): void {
     const key = `${id}/${task}`;
     this.checkCancelled(key, id);
-    this.leave(id, key, m);
+    this.removePlacement(id, key, machine);
     if (!done) return;
-    const d = this.done.get(id) ?? new Set<number>();
-    this.done.set(id, d.add(task));
-    if (d.size === this.jobs.get(id)?.shifts) this.onJobCompleted(id);
+    const completed = this.completedTasks.get(id) ?? new Set<number>();
+    this.completedTasks.set(id, completed.add(task));
+    if (completed.size === this.jobs.get(id)?.shifts) this.onJobCompleted(id);
   }
 
-  /** An answer to a poll, a submission or a withdrawal. */
+  /**
+   * A user receives the answer to a submission, a status query or a cancellation. Checks forgotten, invented,
+   * unfit, not_done and went_back.
+   */
   answer(kind: 'submit' | 'show' | 'withdraw', id: string, status: number, standing?: string): void {
-    const before = this.told.get(id);
-    if (status === 404 && kind === 'show' && before) this.say('forgotten', `${id} gets 404`);
+    const before = this.reportedStandings.get(id);
+    if (status === 404 && kind === 'show' && before) this.report('forgotten', `${id} is answered with 404`);
     if ((status === 400 || status === 422) && kind === 'submit' && before)
-      this.say('forgotten', `${id} gets ${status}`);
+      this.report('forgotten', `${id} is answered with ${status}`);
     if (status !== 200 && status !== 201) return;
-    if (!this.jobs.has(id)) return this.say('invented', id);
+    if (!this.jobs.has(id)) return this.report('invented', id);
     if (kind === 'submit' && !before) this.checkFit(this.jobs.get(id)!);
     if (standing === 'done') {
-      if ((this.done.get(id)?.size ?? 0) < this.jobs.get(id)!.shifts) this.say('not_done', id);
-      if (before === 'aborted') this.say('went_back', `${id} from aborted to done`);
-      this.told.set(id, 'done');
+      if ((this.completedTasks.get(id)?.size ?? 0) < this.jobs.get(id)!.shifts) this.report('not_done', id);
+      if (before === 'aborted') this.report('went_back', `${id} from aborted to done`);
+      this.reportedStandings.set(id, 'done');
     } else if (standing === 'aborted') {
-      if (before === 'done') this.say('went_back', `${id} from done to aborted`);
-      if (!this.asked.has(id)) this.say('went_back', `${id} was not cancelled by its user`);
-      this.told.set(id, 'aborted');
-      if (kind === 'withdraw' && !this.cancelled.has(id)) this.cancelled.set(id, this.now());
+      if (before === 'done') this.report('went_back', `${id} from done to aborted`);
+      if (!this.cancellationRequests.has(id)) this.report('went_back', `${id} was not cancelled by its user`);
+      this.reportedStandings.set(id, 'aborted');
+      if (kind === 'withdraw' && !this.cancelledAt.has(id)) this.cancelledAt.set(id, this.now());
     } else {
       if (before === 'done' || before === 'aborted')
-        this.say('went_back', `${id} from ${before} to ${standing}`);
-      this.told.set(id, before ?? 'accepted');
+        this.report('went_back', `${id} from ${before} to ${standing}`);
+      this.reportedStandings.set(id, before ?? 'accepted');
     }
   }
 
-  private allowed(j: JobOnWire, p: MachineInfo): boolean {
+  private isAllowed(job: JobOnWire, machine: MachineInfo): boolean {
     return (
-      (!j.breeds || j.breeds.includes(p.type)) && (!j.yard || j.yard === p.zone) && (j.loaners || !p.spot)
+      (!job.breeds || job.breeds.includes(machine.type)) &&
+      (!job.yard || job.yard === machine.zone) &&
+      (job.loaners || !machine.spot)
     );
   }
 
-  /** What is accepted lacks nothing and can run somewhere. */
-  private checkFit(j: JobOnWire): void {
-    const lacking = FIELDS.filter((f) => j[f] === undefined);
-    const team = this.teams.find((t) => t.name === j.desk);
-    const most = j.cpus * (j.shape === 'ensemble' ? j.shifts : 1);
+  /** Checks unfit: an accepted job has every field and fits a machine type and the limit of its team. */
+  private checkFit(job: JobOnWire): void {
+    const missing = FIELDS.filter((f) => job[f] === undefined);
+    const team = this.teams.find((t) => t.name === job.desk);
+    const cpus = job.cpus * (job.shape === 'ensemble' ? job.shifts : 1);
     const fits = this.types.some(
-      (t) =>
-        t.cpus >= j.cpus &&
-        t.mem >= j.mem_gb &&
-        t.zones.some((zone) => this.allowed(j, { id: '', type: t.name, zone, spot: false })),
+      (type) =>
+        type.cpus >= job.cpus &&
+        type.mem >= job.mem_gb &&
+        type.zones.some((zone) => this.isAllowed(job, { id: '', type: type.name, zone, spot: false })),
     );
-    if (lacking.length > 0) this.say('unfit', `${j.name_id} lacks ${lacking.join()}`);
-    else if (!team || most > team.cpusMax || !fits) this.say('unfit', `${j.name_id} can never run`);
+    if (missing.length > 0) this.report('unfit', `${job.name_id} lacks the fields ${missing.join()}`);
+    else if (!team || cpus > team.cpusMax || !fits) this.report('unfit', `${job.name_id} can never run`);
   }
 
   /**
-   * After the troubles, asked time and again with the machines that are there and what each has free: a job
-   * must not wait while one fits and its team is under its limit.
+   * Checks waits: a job must not wait longer than `maxWaitMs` while its tasks fit on the given free resources
+   * and its team is below its limit. Called repeatedly once the failures are over, with the free resources of
+   * each machine in use.
    */
   checkWaiting(
     machines: { place: MachineInfo; cpus: number; mem: number }[],
     failing: (id: string) => boolean = () => false,
-    mostMs = 90_000,
+    maxWaitMs = 90_000,
   ): void {
-    const waitsNow = (id: string): boolean => {
-      if (this.told.get(id) !== 'accepted' || this.asked.has(id) || failing(id)) return false;
-      const j = this.jobs.get(id)!;
-      const need = j.shape === 'ensemble' ? j.shifts : 1;
-      const most = this.teams.find((t) => t.name === j.desk)!.cpusMax;
-      if ((this.cpusUsed.get(j.desk) ?? 0) + j.cpus * need > most) return false;
-      const free = machines.filter((m) => this.allowed(j, m.place) && m.cpus >= j.cpus && m.mem >= j.mem_gb);
-      const zones = new Set(free.map((m) => m.place.zone));
-      if (![...zones].some((z) => free.filter((m) => m.place.zone === z).length >= need)) return false;
-      const done = this.done.get(id);
-      for (let i = 0; i < j.shifts; i++)
-        if (!done?.has(i) && (this.placesOf(id, `${id}/${i}`)?.size ?? 0) === 0) return true;
+    const isWaiting = (id: string): boolean => {
+      if (this.reportedStandings.get(id) !== 'accepted' || this.cancellationRequests.has(id) || failing(id))
+        return false;
+      const job = this.jobs.get(id)!;
+      const tasksToPlace = job.shape === 'ensemble' ? job.shifts : 1;
+      const cpusMax = this.teams.find((t) => t.name === job.desk)!.cpusMax;
+      if ((this.cpusUsed.get(job.desk) ?? 0) + job.cpus * tasksToPlace > cpusMax) return false;
+      const fitting = machines.filter(
+        (m) => this.isAllowed(job, m.place) && m.cpus >= job.cpus && m.mem >= job.mem_gb,
+      );
+      const zones = new Set(fitting.map((m) => m.place.zone));
+      if (![...zones].some((zone) => fitting.filter((m) => m.place.zone === zone).length >= tasksToPlace))
+        return false;
+      const completed = this.completedTasks.get(id);
+      for (let i = 0; i < job.shifts; i++)
+        if (!completed?.has(i) && (this.machinesOf(id, `${id}/${i}`)?.size ?? 0) === 0) return true;
       return false;
     };
-    for (const id of this.told.keys())
-      if (!waitsNow(id)) this.waitsSince.delete(id);
-      else if (!this.waitsSince.has(id)) this.waitsSince.set(id, this.now());
-      else if (this.now() - this.waitsSince.get(id)! > mostMs)
-        this.say('waits', `${id} though a machine fits`);
+    for (const id of this.reportedStandings.keys())
+      if (!isWaiting(id)) this.waitingSince.delete(id);
+      else if (!this.waitingSince.has(id)) this.waitingSince.set(id, this.now());
+      else if (this.now() - this.waitingSince.get(id)! > maxWaitMs)
+        this.report('waits', `${id} although a machine has room for it`);
   }
-  private readonly waitsSince = new Map<string, number>();
+  private readonly waitingSince = new Map<string, number>();
 
-  /** At the end of a story: what is still on machines that should not be. */
+  /** Checks, at the end of a test, ran_cancelled for the tasks that still run, and nothing_ran. */
   finish(): void {
-    for (const [id, tasks] of this.present) for (const key of tasks.keys()) this.checkCancelled(key, id);
-    if (this.starts === 0) this.say('nothing_ran', 'no task was started');
+    for (const [id, tasks] of this.placements) for (const key of tasks.keys()) this.checkCancelled(key, id);
+    if (this.starts === 0) this.report('nothing_ran', 'no task was started');
   }
 
+  /** Jobs whose users have been told a standing. */
   accepted(): string[] {
-    return [...this.told.keys()];
+    return [...this.reportedStandings.keys()];
   }
-  standing(id: string): Told | undefined {
-    return this.told.get(id);
+  /** What the user of a job was told last. */
+  standing(id: string): ReportedStanding | undefined {
+    return this.reportedStandings.get(id);
   }
 }
