--- a/test/fakes/clock.ts
+++ b/test/fakes/clock.ts
@@ -2,7 +2,8 @@
 import type { SteadyMs, WallMs } from '../../src/core/types.js';
 import type { Cancel, Clock } from '../../src/io/clock.js';
 
-const quiet = (): Promise<void> => new Promise((ok) => setImmediate(ok));
+/** Settles when all promise callbacks and immediates that are due have run. */
+const settlePromises = (): Promise<void> => new Promise((done) => setImmediate(done));
 
 interface Timer {
   at: number;
@@ -12,7 +13,7 @@
   run: (() => void) | null;
 }
 
-/** Time that passes only when a story says so. */
+/** Simulated time with its timers. It advances only in `run` and `runUntil`. */
 export class VirtualTime {
   now = 0;
   private seq = 0;
@@ -30,53 +31,59 @@
     return this.timers.peek();
   }
 
+  /** Advances the time by `ms` and runs the timers that become due on the way. */
   async run(ms: number): Promise<void> {
     const end = this.now + ms;
-    await quiet();
+    await settlePromises();
     for (;;) {
       const timer = this.next();
       if (!timer || timer.at > end) break;
       this.timers.pop();
       this.now = timer.at;
       timer.run?.();
-      // Timers of the same instant run together; promises settle before time moves on.
-      if (this.next()?.at !== this.now) await quiet();
+      // Timers of the same instant run together; promises settle before the time advances.
+      if (this.next()?.at !== this.now) await settlePromises();
     }
     this.now = end;
   }
 
-  async runUntil(what: () => boolean, mostMs: number): Promise<boolean> {
-    for (const end = this.now + mostMs; this.now < end;) {
-      if (what()) return true;
+  /** Advances the time until the condition holds, at most by `maxMs`; returns whether it holds. */
+  async runUntil(condition: () => boolean, maxMs: number): Promise<boolean> {
+    for (const end = this.now + maxMs; this.now < end;) {
+      if (condition()) return true;
       await this.run(100);
     }
-    return what();
+    return condition();
   }
 }
 
-/** One node's clocks: the steady one drifts, the wall clock is off, and a dead node has no timers. */
+/**
+ * The clocks of one node: the steady clock runs at `rate`, the wall clock is `offsetMs` ahead, and the timers
+ * of a node that has crashed don't fire.
+ */
 export class NodeClock implements Clock {
+  /** The process has crashed. */
   dead = false;
-  /** Until then the process stands still, while its clocks run on. */
+  /** Until then the process is paused: its timers are held back while its clocks run on. */
   frozenUntil = 0;
   constructor(
     private readonly time: VirtualTime,
     private readonly rate: number,
-    private readonly off: number,
+    private readonly offsetMs: number,
   ) {}
   steady(): SteadyMs {
     return (this.time.now * this.rate) as SteadyMs;
   }
   wall(): WallMs {
-    return Math.round(1_700_000_000_000 + this.time.now + this.off) as WallMs;
+    return Math.round(1_700_000_000_000 + this.time.now + this.offsetMs) as WallMs;
   }
   after(ms: number, run: () => void): Cancel {
     let cancel: Cancel = () => {};
-    const due = (): void => {
-      if (this.frozenUntil > this.time.now) cancel = this.time.after(this.frozenUntil - this.time.now, due);
+    const fire = (): void => {
+      if (this.frozenUntil > this.time.now) cancel = this.time.after(this.frozenUntil - this.time.now, fire);
       else if (!this.dead) run();
     };
-    cancel = this.time.after(ms / this.rate, due);
+    cancel = this.time.after(ms / this.rate, fire);
     return () => cancel();
   }
 }
--- a/test/fakes/cloud.ts
+++ b/test/fakes/cloud.ts
@@ -4,141 +4,154 @@
 import type { VirtualTime } from './clock.js';
 import type { FakeWorker } from './worker.js';
 
-interface Rented extends MachineInfo {
-  at: number;
+interface RentedMachine extends MachineInfo {
+  rentedAt: number;
   standing: 'booting' | 'running' | 'failed';
 }
 
-/** The cloud: rents machines that boot late or never, lists them late, filters answered repeats. */
+/**
+ * The cloud's API: machines boot late or never, the list of machines lags behind, and a repeated rental
+ * request gets the machines of the first one.
+ */
 export class FakeCloud {
+  /** Answers every request with 503. */
   down = false;
-  /** Machines to give per type, zone and kind; no entry: plenty. */
+  /** Machines left to rent, by `type|zone|spot`; without an entry there is no limit. */
   readonly capacity = new Map<string, number>();
-  readonly machines = new Map<string, Rented>();
+  readonly machines = new Map<string, RentedMachine>();
+  /** Share of rented machines that never come up. */
   bootFailureRate = 0;
-  /** How many times as long as usual the nth machine takes to boot; Infinity: it never comes up. */
+  /** Factor on the boot time of the nth rented machine; with Infinity it never comes up. */
   bootTimeFactor: (n: number) => number = () => 1;
+  /** Number of machines rented so far. */
   rentedMachines = 0;
-  private readonly answered = new Map<string, string[]>();
+  /** Machines of each rental request that was granted, by the name of the request. */
+  private readonly granted = new Map<string, string[]>();
+  /** Lists of machines, one a second, from which a lagging answer is taken. */
   private history: { at: number; list: object[] }[] = [];
-  private next = 1;
+  private nextNumber = 1;
 
   constructor(
     private readonly time: VirtualTime,
     private readonly random: () => number,
     readonly types: MachineType[],
-    private readonly lagMs: number,
-    private readonly boot: (p: MachineInfo) => FakeWorker,
-    private readonly worker: (id: string) => FakeWorker | undefined,
+    private readonly listLagMs: number,
+    private readonly bootWorker: (machine: MachineInfo) => FakeWorker,
+    private readonly workerOf: (id: string) => FakeWorker | undefined,
   ) {
-    this.snap();
+    this.recordList();
   }
 
+  /** Answers every request with 503 for a while. */
   outage(ms: number): void {
     this.down = true;
     this.time.after(ms, () => (this.down = false));
   }
 
-  private snap(): void {
+  private recordList(): void {
     this.history.push({
       at: this.time.now,
-      list: [...this.machines.values()].map((m) => ({
-        name_id: m.id,
-        addr: `${m.id}:9000`,
-        breed: m.type,
-        yard: m.zone,
-        loaners: m.spot,
-        standing: m.standing,
-        held_s: (this.time.now - m.at) / 1000,
+      list: [...this.machines.values()].map((machine) => ({
+        name_id: machine.id,
+        addr: `${machine.id}:9000`,
+        breed: machine.type,
+        yard: machine.zone,
+        loaners: machine.spot,
+        standing: machine.standing,
+        held_s: (this.time.now - machine.rentedAt) / 1000,
       })),
     });
     if (this.history.length > 60) this.history.shift();
-    this.time.after(1000, () => this.snap());
+    this.time.after(1000, () => this.recordList());
   }
 
-  /** The machine stops by itself, or the cloud takes it. */
+  /** A machine fails: it is listed as failed from then on, or no longer listed. */
   failMachine(id: string, listed: 'failed' | 'missing'): void {
-    const m = this.machines.get(id);
-    if (!m) return;
-    this.worker(id)?.terminate();
+    const machine = this.machines.get(id);
+    if (!machine) return;
+    this.workerOf(id)?.terminate();
     if (listed === 'missing') this.machines.delete(id);
-    else m.standing = 'failed';
+    else machine.standing = 'failed';
   }
 
+  /** Answers one request of a controller. */
   handle(method: string, path: string, body: unknown): HttpResponse {
     const url = new URL(path, 'http://cloud');
-    if (this.down) return { status: 503, body: { error: 'trouble' } };
+    if (this.down) return { status: 503, body: { error: 'unavailable' } };
     if (url.pathname === '/flavors')
       return {
         status: 200,
         body: {
-          breeds: this.types.map((t) => ({
-            sku: t.name,
-            cpus: t.cpus,
-            accelerators: t.gpus,
-            mem_gb: t.mem,
-            local_gb: t.cacheGb,
-            pull_gb_per_s: t.fetch,
-            price: t.price,
-            market_price: t.spotPrice,
-            ready_s: t.boot,
-            yards: t.zones,
+          breeds: this.types.map((type) => ({
+            sku: type.name,
+            cpus: type.cpus,
+            accelerators: type.gpus,
+            mem_gb: type.mem,
+            local_gb: type.cacheGb,
+            pull_gb_per_s: type.fetch,
+            price: type.price,
+            market_price: type.spotPrice,
+            ready_s: type.boot,
+            yards: type.zones,
           })),
         },
       };
     if (method === 'POST' && url.pathname === '/hosts') return this.rent(body as never);
     if (url.pathname === '/hosts/return') {
       for (const id of (body as { mounts: string[] }).mounts) {
-        this.worker(id)?.terminate();
-        const m = this.machines.get(id);
-        const key = m ? `${m.type}|${m.zone}|${m.spot}` : '';
+        this.workerOf(id)?.terminate();
+        const machine = this.machines.get(id);
+        const key = machine ? `${machine.type}|${machine.zone}|${machine.spot}` : '';
         if (this.capacity.has(key)) this.capacity.set(key, this.capacity.get(key)! + 1);
         this.machines.delete(id);
       }
       return { status: 200, body: {} };
     }
-    const lag = this.lagMs * (0.5 + this.random() * 1.5);
-    const seen = [...this.history].reverse().find((h) => h.at <= this.time.now - lag);
-    return { status: 200, body: { mounts: seen?.list ?? [], truncated: false } };
+    const lag = this.listLagMs * (0.5 + this.random() * 1.5);
+    const shown = [...this.history].reverse().find((past) => past.at <= this.time.now - lag);
+    return { status: 200, body: { mounts: shown?.list ?? [], truncated: false } };
   }
 
-  private rent(b: {
+  private rent(request: {
     hire: string;
     breed: string;
     yard: string;
     loaners: boolean;
     count: number;
   }): HttpResponse {
-    const before = this.answered.get(b.hire);
-    if (before) return { status: 200, body: { mounts: before } };
-    const key = `${b.breed}|${b.yard}|${b.loaners}`;
-    const n = Math.min(b.count, this.capacity.get(key) ?? Infinity);
-    if (n <= 0) return { status: 503, body: { error: 'no capacity' } };
-    if (this.capacity.has(key)) this.capacity.set(key, this.capacity.get(key)! - n);
+    const earlier = this.granted.get(request.hire);
+    if (earlier) return { status: 200, body: { mounts: earlier } };
+    const key = `${request.breed}|${request.yard}|${request.loaners}`;
+    const count = Math.min(request.count, this.capacity.get(key) ?? Infinity);
+    if (count <= 0) return { status: 503, body: { error: 'no capacity' } };
+    if (this.capacity.has(key)) this.capacity.set(key, this.capacity.get(key)! - count);
     const ids: string[] = [];
-    for (let i = 0; i < n; i++) {
-      const id = `vm-${String(this.next++).padStart(6, '0')}`;
+    for (let i = 0; i < count; i++) {
+      const id = `vm-${String(this.nextNumber++).padStart(6, '0')}`;
       ids.push(id);
-      const times = this.bootTimeFactor(this.rentedMachines++);
-      const p: Rented = {
+      const factor = this.bootTimeFactor(this.rentedMachines++);
+      const machine: RentedMachine = {
         id,
-        type: b.breed,
-        zone: b.yard,
-        spot: b.loaners,
-        at: this.time.now,
+        type: request.breed,
+        zone: request.yard,
+        spot: request.loaners,
+        rentedAt: this.time.now,
         standing: 'booting',
       };
-      this.machines.set(id, p);
-      if (this.random() < this.bootFailureRate || times === Infinity) continue;
-      const ready =
-        this.types.find((t) => t.name === b.breed)!.boot * 1000 * (0.6 + this.random() * 0.9) * times;
-      this.time.after(ready, () => {
+      this.machines.set(id, machine);
+      if (this.random() < this.bootFailureRate || factor === Infinity) continue;
+      const bootMs =
+        this.types.find((type) => type.name === request.breed)!.boot *
+        1000 *
+        (0.6 + this.random() * 0.9) *
+        factor;
+      this.time.after(bootMs, () => {
         if (!this.machines.has(id)) return;
-        p.standing = 'running';
-        this.boot(p);
+        machine.standing = 'running';
+        this.bootWorker(machine);
       });
     }
-    this.answered.set(b.hire, ids);
+    this.granted.set(request.hire, ids);
     return { status: 200, body: { mounts: ids } };
   }
 }
--- a/test/fakes/commands-property.ts
+++ b/test/fakes/commands-property.ts
@@ -1,38 +1,43 @@
 import fc from 'fast-check';
 import { OneWorker, type CallFate } from './one-worker.js';
 
-/** A seed of its own, so that a failure in CI is found again; other seeds are the soak's. */
+/** CI runs a fixed seed, so that a failure can be reproduced; the soak runs others. */
 export const SEED_IN_CI = 20261202;
 export const RUNS_IN_CI = 300;
-/** Longer than any call is held up. */
-const ALL_ARRIVED_MS = 65_000;
+/** Longer than any call is delayed. */
+const DRAIN_MS = 65_000;
 
+/** What a run may do; the names appear in the counterexample of a failure. */
 const actions = {
-  start: (one: OneWorker) => one.start(),
-  stop: (one: OneWorker) => one.stop(),
-  cancel: (one: OneWorker) => one.cancel(),
-  submit: (one: OneWorker) => one.submit(30),
-  push: (one: OneWorker) => one.sendCommands(),
-  complete: (one: OneWorker) => one.completeTasks(),
-  newSession: (one: OneWorker) => one.worker.startNewSession(),
-  changeLeader: (one: OneWorker) => one.changeLeader(),
-  mute: (one: OneWorker) => one.dropReports(5000),
-  silence: (one: OneWorker) => one.dropAllFromWorker(5000),
-  hang: (one: OneWorker) => one.hang(4000),
-  deafen: (one: OneWorker) => one.dropReportResponses(5000),
-  copyReport: (one: OneWorker) => one.copyNextReport(20_000),
+  start: (fixture: OneWorker) => fixture.start(),
+  stop: (fixture: OneWorker) => fixture.stop(),
+  cancel: (fixture: OneWorker) => fixture.cancel(),
+  submit: (fixture: OneWorker) => fixture.submit(30),
+  sendCommands: (fixture: OneWorker) => fixture.sendCommands(),
+  complete: (fixture: OneWorker) => fixture.completeTasks(),
+  startNewSession: (fixture: OneWorker) => fixture.worker.startNewSession(),
+  changeLeader: (fixture: OneWorker) => fixture.changeLeader(),
+  dropReports: (fixture: OneWorker) => fixture.dropReports(5000),
+  dropAllFromWorker: (fixture: OneWorker) => fixture.dropAllFromWorker(5000),
+  hang: (fixture: OneWorker) => fixture.hang(4000),
+  dropReportResponses: (fixture: OneWorker) => fixture.dropReportResponses(5000),
+  duplicateReport: (fixture: OneWorker) => fixture.duplicateNextReport(20_000),
 } as const;
 type Action = keyof typeof actions;
 
 interface Step {
   action: Action;
+  /** How long the simulation runs before the next step. */
   thenMs: number;
 }
 
 const step: fc.Arbitrary<Step> = fc.record({
   action: fc.oneof(
     { weight: 4, arbitrary: fc.constant<Action>('start') },
-    { weight: 3, arbitrary: fc.constantFrom<Action>('stop', 'push', 'mute', 'deafen') },
+    {
+      weight: 3,
+      arbitrary: fc.constantFrom<Action>('stop', 'sendCommands', 'dropReports', 'dropReportResponses'),
+    },
     { weight: 1, arbitrary: fc.constantFrom(...(Object.keys(actions) as Action[])) },
   ),
   thenMs: fc.constantFrom(0, 100, 700, 2200, 5000),
@@ -49,20 +54,24 @@
   },
 );
 
-/** Random interleavings of decisions, failures, and the fates of direct calls to one worker. */
+/**
+ * Random sequences of decisions and failures, with random delays and lost answers of the direct calls to one
+ * worker. No attempt may start after its end is recorded, and none whose end is recorded may remain on the
+ * worker.
+ */
 export const commandsProperty = (): fc.IAsyncProperty<[Step[], CallFate[]]> =>
   fc.asyncProperty(
     fc.array(step, { minLength: 1, maxLength: 16 }),
     fc.array(fate, { maxLength: 8 }),
     async (steps, fates) => {
-      const one = await OneWorker.withRunningJob(30);
-      one.fates = [...fates];
+      const fixture = await OneWorker.withRunningJob(30);
+      fixture.fates = [...fates];
       for (const { action, thenMs } of steps) {
-        actions[action](one);
-        await one.time.run(thenMs);
+        actions[action](fixture);
+        await fixture.time.run(thenMs);
       }
-      await one.time.run(ALL_ARRIVED_MS);
-      const wrong = [...one.violations, ...one.strayTasks()];
-      if (wrong.length > 0) throw new Error(wrong.join('; '));
+      await fixture.time.run(DRAIN_MS);
+      const violations = [...fixture.violations, ...fixture.strayTasks()];
+      if (violations.length > 0) throw new Error(violations.join('; '));
     },
   );
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -179,7 +179,7 @@
   }
 
   /** A copy of the next report arrives again, at whoever leads then. */
-  copyNextReport(afterMs: number): void {
+  duplicateNextReport(afterMs: number): void {
     this.copyAfterMs = afterMs;
   }
 
--- a/tools/soak/main.ts
+++ b/tools/soak/main.ts
@@ -1,14 +1,15 @@
 /**
- * `npm run soak -- --minutes 30 --seed N`: random stories of one worker and its leader, seed after seed, until the
- * time is over. Prints its seed; a failure is shrunk to the shortest story and ends the run with 1.
+ * `npm run soak -- --minutes 30 --seed N`: runs the property test of direct commands with one seed after
+ * another until the time is up. Prints the first seed. A failure is shrunk to a minimal counterexample and
+ * ends the run with exit status 1.
  */
 import { parseArgs } from 'node:util';
 import fc from 'fast-check';
 import { commandsProperty } from '../../test/fakes/commands-property.js';
 
-const STORIES_PER_SEED = 200;
+const RUNS_PER_SEED = 200;
 const MINUTE_MS = 60_000;
-const PROGRESS_MS = 30_000;
+const PROGRESS_INTERVAL_MS = 30_000;
 
 const { values: options } = parseArgs({
   options: {
@@ -20,29 +21,29 @@
 function numberOf(name: 'minutes' | 'seed'): number {
   const value = Number(options[name]);
   if (Number.isFinite(value) && value >= 0) return value;
-  throw new Error(`--${name}: expected a number, found "${options[name]}"`);
+  throw new Error(`--${name}: expected a number of at least 0, found "${options[name]}"`);
 }
 
-/** Plays seeds until the time is over; gives the number of stories. */
+/** Runs seeds until the time is up; returns the number of runs. */
 async function soak(firstSeed: number, minutes: number): Promise<number> {
-  const began = performance.now();
-  let shownAt = began;
-  let stories = 0;
-  for (let seed = firstSeed; performance.now() - began < minutes * MINUTE_MS; seed++) {
-    await fc.assert(commandsProperty(), { seed, numRuns: STORIES_PER_SEED });
-    stories += STORIES_PER_SEED;
-    if (performance.now() - shownAt < PROGRESS_MS) continue;
-    shownAt = performance.now();
-    process.stdout.write(`soak: ${stories} stories, seed ${seed}\n`);
+  const startedAt = performance.now();
+  let printedAt = startedAt;
+  let runs = 0;
+  for (let seed = firstSeed; performance.now() - startedAt < minutes * MINUTE_MS; seed++) {
+    await fc.assert(commandsProperty(), { seed, numRuns: RUNS_PER_SEED });
+    runs += RUNS_PER_SEED;
+    if (performance.now() - printedAt < PROGRESS_INTERVAL_MS) continue;
+    printedAt = performance.now();
+    process.stdout.write(`soak: ${runs} runs, seed ${seed}\n`);
   }
-  return stories;
+  return runs;
 }
 
 try {
   const seed = numberOf('seed');
   process.stdout.write(`soak: seed ${seed}, ${options.minutes} minutes\n`);
-  const stories = await soak(seed, numberOf('minutes'));
-  process.stdout.write(`soak: ${stories} stories, nothing broken\n`);
+  const runs = await soak(seed, numberOf('minutes'));
+  process.stdout.write(`soak: ${runs} runs, no violation\n`);
 } catch (error) {
   process.stderr.write(`soak: ${error instanceof Error ? error.message : String(error)}\n`);
   process.exit(1);
