--- a/test/fakes/network.ts
+++ b/test/fakes/network.ts
@@ -1,6 +1,7 @@
 import type { HttpResponse, HttpCall } from '../../src/io/http-client.js';
 import type { VirtualTime } from './clock.js';
 
+/** Answers a request; null leaves it without an answer. */
 export type Handler = (
   method: string,
   path: string,
@@ -9,14 +10,18 @@
 
 const hostOf = (address: string): string => address.replace(/:.*/, '');
 
-/** Carries requests between hosts; cuts drop them or hold them until the cut is over. */
+/**
+ * Carries requests between simulated hosts. Requests across a cut are dropped, or with `hold` delivered once
+ * the cut is over.
+ */
 export class FakeNetwork {
-  private readonly hosts = new Map<string, Handler>();
+  private readonly handlers = new Map<string, Handler>();
   private readonly cuts: { a: string; b: string; hold: boolean; until: number }[] = [];
-  /** Hosts that send but don't receive: no answer and no request reaches them. */
-  private readonly deaf = new Map<string, number>();
-  /** Share of workers' reports of which a copy comes late, at any node. */
+  /** Hosts that receive neither requests nor answers, and until when. */
+  private readonly inboundDroppedUntil = new Map<string, number>();
+  /** Share of workers' reports of which a delayed duplicate arrives at each node. */
   duplicateShare = 0;
+  /** Delay of a duplicate. */
   duplicateDelayMs = (): number => 1000 + this.random() * 40_000;
 
   constructor(
@@ -24,75 +29,82 @@
     private readonly random: () => number,
   ) {}
 
-  listen(address: string, h: Handler): void {
-    this.hosts.set(address, h);
+  /** Handles the requests to an address, such as `n0:80`. */
+  listen(address: string, handler: Handler): void {
+    this.handlers.set(address, handler);
   }
   close(address: string): void {
-    this.hosts.delete(address);
+    this.handlers.delete(address);
   }
 
-  /** How long a request is held back on its way, in ms; 0: not at all. Whoever sent it gets no answer. */
+  /**
+   * Additional delay of a request. The caller's timeout runs from the sending, so a long delay leaves no
+   * answer.
+   */
   requestDelayMs: (address: string, body: unknown, path: string) => number = () => 0;
 
-  /** How long the answer to a request is held back on its way, in ms: it was carried out in time. */
+  /** Additional delay of the answer to a request, which itself is carried out without delay. */
   responseDelayMs: (address: string, path: string) => number = () => 0;
 
-  /** '*' stands for every host. */
+  /** Cuts the connection between two addresses; '*' stands for every address. */
   cut(a: string, b: string, ms: number, hold = false): void {
     this.cuts.push({ a, b, hold, until: this.time.now + ms });
   }
 
-  /** A host that stands still: what comes meanwhile waits in its sockets. */
+  /** Pauses a host: what arrives meanwhile waits in its sockets. */
   freeze(host: string, ms: number): void {
-    this.frozen.set(host, this.time.now + ms);
+    this.frozenUntil.set(host, this.time.now + ms);
   }
-  private readonly frozen = new Map<string, number>();
+  private readonly frozenUntil = new Map<string, number>();
 
-  /** Runs at once, or when the host goes on. */
-  private awake(address: string, run: () => void): void {
-    const until = this.frozen.get(hostOf(address)) ?? 0;
-    if (until > this.time.now) this.time.after(until - this.time.now, () => this.awake(address, run));
+  /** Runs at once, or when the host resumes. */
+  private whenResumed(address: string, run: () => void): void {
+    const until = this.frozenUntil.get(hostOf(address)) ?? 0;
+    if (until > this.time.now) this.time.after(until - this.time.now, () => this.whenResumed(address, run));
     else run();
   }
 
-  /** A zone that is cut off: its hosts reach each other and nobody else. */
+  /** Cuts a group of hosts off from all others; within the group they reach each other. */
   partition(inside: (host: string) => boolean, ms: number, hold = false): void {
     this.partitions.push({ inside, hold, until: this.time.now + ms });
   }
   private readonly partitions: { inside: (host: string) => boolean; hold: boolean; until: number }[] = [];
 
-  /** Requests from a host to machines that are open at once, and the most there were. */
+  /** Requests of each host to machines: how many are open now, and the highest number at once. */
   readonly callsToWorkers = new Map<string, { open: number; most: number }>();
 
-  /** A host whose requests to controllers are lost, while it is reached and answers. */
+  /** Drops a worker's requests to controllers; requests to the worker get through, and so do its answers. */
   dropReports(host: string, ms: number): void {
-    this.muted.set(host, this.time.now + ms);
+    this.reportsDroppedUntil.set(host, this.time.now + ms);
   }
-  private readonly muted = new Map<string, number>();
+  private readonly reportsDroppedUntil = new Map<string, number>();
 
-  /** Whether a host is cut off, deaf, mute or stands still now. */
+  /** Whether a host is paused or any of its traffic is cut or dropped now. */
   isUnreachable(host: string): boolean {
     const now = this.time.now;
-    const until = [this.deaf, this.muted, this.frozen].map((m) => m.get(host) ?? 0);
+    const until = [this.inboundDroppedUntil, this.reportsDroppedUntil, this.frozenUntil].map(
+      (m) => m.get(host) ?? 0,
+    );
     return (
       Math.max(...until) > now ||
-      this.cuts.some((c) => c.until > now && [c.a, c.b].some((x) => hostOf(x) === host)) ||
+      this.cuts.some((c) => c.until > now && [c.a, c.b].some((address) => hostOf(address) === host)) ||
       this.partitions.some((p) => p.until > now && p.inside(host))
     );
   }
 
-  /** Requests that arrived at each address. */
+  /** Number of requests that arrived at each address. */
   readonly requestCounts = new Map<string, number>();
 
+  /** Drops the requests and answers to a host; what it sends gets through. */
   dropIncoming(host: string, ms: number): void {
-    this.deaf.set(host, this.time.now + ms);
+    this.inboundDroppedUntil.set(host, this.time.now + ms);
   }
 
-  private hears(address: string): boolean {
-    return (this.deaf.get(hostOf(address)) ?? 0) <= this.time.now;
+  private receives(address: string): boolean {
+    return (this.inboundDroppedUntil.get(hostOf(address)) ?? 0) <= this.time.now;
   }
 
-  private copyLater(path: string, body: string | undefined): void {
+  private duplicateLater(path: string, body: string | undefined): void {
     if (
       path !== '/hello' ||
       body === undefined ||
@@ -101,23 +113,28 @@
     )
       return;
     this.time.after(this.duplicateDelayMs(), () => {
-      for (const [a, h] of this.hosts) if (a.endsWith(':80')) void h('POST', path, JSON.parse(body));
+      for (const [address, handler] of this.handlers)
+        if (address.endsWith(':80')) void handler('POST', path, JSON.parse(body));
     });
   }
 
   private cutBetween(x: string, y: string): { hold: boolean; until: number } | undefined {
-    const is = (p: string, q: string): boolean => p === '*' || p === q;
+    const matches = (pattern: string, address: string): boolean => pattern === '*' || pattern === address;
     return (
       this.cuts.find(
-        (c) => c.until > this.time.now && ((is(c.a, x) && is(c.b, y)) || (is(c.a, y) && is(c.b, x))),
+        (c) =>
+          c.until > this.time.now &&
+          ((matches(c.a, x) && matches(c.b, y)) || (matches(c.a, y) && matches(c.b, x))),
       ) ?? this.partitions.find((p) => p.until > this.time.now && p.inside(hostOf(x)) !== p.inside(hostOf(y)))
     );
   }
 
+  /** Usual delay of a request or an answer, in ms. */
   delay(): number {
     return 1 + this.random() * 4;
   }
 
+  /** A client for a host. Answers are ignored once `alive` returns false. */
   caller(from: string, alive: () => boolean): HttpCall {
     return (address, method, path, body, timeoutMs) =>
       new Promise((resolve) => {
@@ -125,36 +142,36 @@
         const calls = this.callsToWorkers.get(from) ?? { open: 0, most: 0 };
         this.callsToWorkers.set(from, calls);
         if (address.startsWith('vm-')) calls.most = Math.max(calls.most, ++calls.open);
-        const end = (a: HttpResponse | null): void => {
+        const settle = (answer: HttpResponse | null): void => {
           if (!open) return;
           open = false;
           if (address.startsWith('vm-')) calls.open--;
           if (!alive()) return;
-          resolve(a);
+          resolve(answer);
         };
-        this.time.after(timeoutMs, () => this.awake(from, () => end(null)));
+        this.time.after(timeoutMs, () => this.whenResumed(from, () => settle(null)));
         const text = body === undefined ? undefined : JSON.stringify(body);
-        const arrive = (): void => this.awake(address, deliver);
+        const arrive = (): void => this.whenResumed(address, deliver);
         const deliver = (): void => {
           const cut = this.cutBetween(from, address);
           if (cut) {
             if (cut.hold) this.time.after(cut.until - this.time.now + 1, arrive);
             return;
           }
-          if (address.endsWith(':80') && (this.muted.get(from) ?? 0) > this.time.now) return;
-          if (!this.hears(address)) return;
+          if (address.endsWith(':80') && (this.reportsDroppedUntil.get(from) ?? 0) > this.time.now) return;
+          if (!this.receives(address)) return;
           this.requestCounts.set(address, (this.requestCounts.get(address) ?? 0) + 1);
-          this.copyLater(path, text);
-          const h = this.hosts.get(address);
-          if (!h) return void this.time.after(this.delay(), () => end(null));
-          void Promise.resolve(h(method, path, text === undefined ? undefined : JSON.parse(text))).then(
-            (a) => {
-              if (!a) return;
-              const back = JSON.stringify(a.body);
+          this.duplicateLater(path, text);
+          const handler = this.handlers.get(address);
+          if (!handler) return void this.time.after(this.delay(), () => settle(null));
+          void Promise.resolve(handler(method, path, text === undefined ? undefined : JSON.parse(text))).then(
+            (answer) => {
+              if (!answer) return;
+              const json = JSON.stringify(answer.body);
               this.time.after(this.delay() + this.responseDelayMs(address, path), () => {
-                if (this.cutBetween(from, address) || !this.hears(from)) return;
-                this.awake(from, () =>
-                  end({ status: a.status, body: back === undefined ? undefined : JSON.parse(back) }),
+                if (this.cutBetween(from, address) || !this.receives(from)) return;
+                this.whenResumed(from, () =>
+                  settle({ status: answer.status, body: json === undefined ? undefined : JSON.parse(json) }),
                 );
               });
             },
