--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -12,73 +12,76 @@
 import { FakeWorker } from './worker.js';
 import { box, write } from './world.js';
 
-/** What becomes of one direct call: when it reaches the worker, and whether its answer gets back. */
+/** When a direct call reaches the worker, and whether its answer gets back to the leader. */
 export interface CallFate {
   deliveredAfterMs: number;
   answered: boolean;
-  /** Something between the two answers 200 at once, with a body that is no report. */
+  /** An intermediary answers 200 at once, with a body that is not a report. */
   garbled?: boolean;
 }
 
-const PROMPT: CallFate = { deliveredAfterMs: 2, answered: true };
-const ANSWER_MS = 2;
-const WRITE_MS = 15;
-const TICK_MS = 1000;
-const TASKS = 4;
-const PLACE: MachineInfo = { id: 'vm-1', type: 'box', zone: 'a', spot: false };
+const PROMPT_CALL: CallFate = { deliveredAfterMs: 2, answered: true };
+const NETWORK_DELAY_MS = 2;
+const LOG_WRITE_MS = 15;
+const TICK_INTERVAL_MS = 1000;
+const TASKS_PER_JOB = 4;
+const MACHINE: MachineInfo = { id: 'vm-1', type: 'box', zone: 'a', spot: false };
 
-/** Tells of each start of a task on the worker. */
+/** Calls `onStart` for each start of a task on the worker. */
 class StartsChecker extends Checker {
   onStart: (job: string, task: number) => void = () => {};
-  override start(id: string, task: number, place: MachineInfo): void {
-    super.start(id, task, place);
+  override start(id: string, task: number, machine: MachineInfo): void {
+    super.start(id, task, machine);
     this.onStart(id, task);
   }
 }
 
+/** Body of a direct call, in the terms of the protocol. */
 interface DirectBody {
   orders: { verb: string }[];
 }
 
 /**
- * One worker, the leader that it reports to, and the log between them, on virtual time. A test says what
- * becomes of each direct call that carries a start; each start on the worker is held against the log.
+ * One worker, the leader that it reports to, and the log, in virtual time. A test determines the delay and
+ * the loss of each direct call that carries a start; each start on the worker is checked against the log.
  */
 export class OneWorker {
   readonly time = new VirtualTime();
   readonly state = new ClusterState();
   readonly checker: StartsChecker;
   readonly worker: FakeWorker;
-  readonly machine = PLACE.id as MachineId;
-  /** Starts of attempts whose end is in the log already: each breaks `ran_twice` or `ran_cancelled`. */
+  readonly machine = MACHINE.id as MachineId;
+  /** Starts of attempts whose end is already in the log: each would violate ran_twice or ran_cancelled. */
   readonly violations: string[] = [];
-  /** Fates of the next direct calls with a start, in order; what comes after them is prompt. */
+  /** Delays and losses of the next direct calls with a start, in order; later calls are prompt. */
   fates: CallFate[] = [];
-  /** Direct calls with a start that were sent. */
+  /** Number of direct calls with a start that were sent. */
   startsSent = 0;
   /** Until then the worker's reports are lost. */
-  private mutedUntil = 0;
+  private reportsDroppedUntil = 0;
   /** Until then answers to direct calls are lost. */
-  private silentUntil = 0;
+  private callAnswersDroppedUntil = 0;
   /** Until then answers to reports are lost. */
-  private deafUntil = 0;
-  /** The next report arrives again after so long; 0: it does not. */
-  private copyAfterMs = 0;
+  private reportAnswersDroppedUntil = 0;
+  /** Delay of a duplicate of the next report; 0: none. */
+  private duplicateAfterMs = 0;
+  /** Until then the machine hangs, and direct calls wait. */
   private hungUntil = 0;
   private term = 1;
-  private jobs = 0;
+  /** Number of jobs submitted. */
+  private jobCount = 0;
   private leader: WorkersActor;
 
   constructor() {
     this.checker = new StartsChecker(() => this.time.now, [], [box], 45_000);
     this.checker.onStart = (job, task) => this.checkStart(job, task);
-    this.leader = this.lead();
+    this.leader = this.createLeader();
     write(this.state, [
       { e: 'types', types: [box] },
       { e: 'up', m: this.machine, addr: 'vm-1:1', type: 'box', zone: 'a', spot: false, s: 1 as never },
     ]);
     const settings = { report_s: REPORT_PERIOD_S, lease_s: 16, gang_wait_s: 30, gang_peer_s: 5 };
-    this.worker = new FakeWorker(PLACE, 'vm-1:1', this.reports(), {
+    this.worker = new FakeWorker(MACHINE, 'vm-1:1', this.reportCalls(), {
       ...{ time: this.time, random: () => 0.5, checker: this.checker, settings, failing: new Set<string>() },
       nodes: [{ name: 'n0', address: 'n0:80' }],
       type: () => box,
@@ -88,33 +91,42 @@
     this.tick();
   }
 
-  /** A leader that has heard its worker, and a job of four tasks. */
+  /** A leader that has received its worker's report, and a job of four tasks. */
   static async withRunningJob(runSeconds = 1000): Promise<OneWorker> {
-    const one = new OneWorker();
-    one.submit(runSeconds);
-    await one.time.run(6000);
-    return one;
+    const fixture = new OneWorker();
+    fixture.submit(runSeconds);
+    await fixture.time.run(6000);
+    return fixture;
   }
 
+  /** The job submitted last. */
   get job(): JobId {
-    return `wk-${this.jobs}` as JobId;
+    return `wk-${this.jobCount}` as JobId;
   }
 
+  /** Submits a job whose tasks run for so long. */
   submit(runSeconds: number): void {
-    this.jobs++;
+    this.jobCount++;
     const job: JobOnWire = {
-      ...{ name_id: this.job, duty: 'any', desk: 'red', shape: 'array', urgency: 'standard', shifts: TASKS },
+      ...{
+        name_id: this.job,
+        duty: 'any',
+        desk: 'red',
+        shape: 'array',
+        urgency: 'standard',
+        shifts: TASKS_PER_JOB,
+      },
       ...{ cpus: 1, accelerators: 0, mem_gb: 1, kit: 'img', image_gb: 0, breeds: null, yard: null },
       ...{ together: false, spread: false, loaners: true, reckon_s: runSeconds, waymark_s: 0, stow_s: 0 },
       due_s: null,
     };
     this.checker.submitted(job);
-    const read = readJob(job);
-    if ('error' in read) throw new Error(read.error);
-    write(this.state, [{ e: 'job', spec: read.spec }]);
+    const parsed = readJob(job);
+    if ('error' in parsed) throw new Error(parsed.error);
+    write(this.state, [{ e: 'job', spec: parsed.spec }]);
   }
 
-  /** The leader decides: written, applied, and told to the worker. */
+  /** Appends a decision of the leader to the log, applies it and sends its commands to the worker. */
   appendDecision(entry: LogEntry): void {
     if (entry.e === 'withdraw') this.leader.tell({ kind: 'cancelling', job: entry.job, isUnderWay: true });
     this.append(this.leader, {
@@ -127,74 +139,79 @@
     });
   }
 
-  /** Starts a waiting task of the latest job on the worker, if there is one. */
+  /** Starts a waiting task of the job submitted last, if there is one. */
   start(): void {
     const job = this.state.jobs.get(this.job);
     const next = job && !job.withdrawn ? waitingTasks(job, 1)[0] : undefined;
     if (next) this.appendDecision({ e: 'start', job: this.job, p: [[next[0], next[1], this.machine]] });
   }
 
-  /** Stops what runs of the latest job, as for a preemption. */
+  /** Stops the tasks of the job submitted last, as for a preemption. */
   stop(): void {
     const tasks = [...(this.state.jobs.get(this.job)?.live.keys() ?? [])];
     if (tasks.length > 0)
       this.appendDecision({ e: 'stop', job: this.job, p: tasks, grace: 0, why: 'preempted' });
   }
 
+  /** Cancels the job submitted last. */
   cancel(): void {
     if (this.state.jobs.has(this.job)) this.appendDecision({ e: 'withdraw', job: this.job });
   }
 
-  /** What the leader would tell the worker now goes out directly. */
+  /** Sends the commands that are due for the worker in a direct call. */
   sendCommands(): void {
     this.leader.tell({ kind: 'commandsDue', machines: [this.machine] });
   }
 
-  /** Tasks that run on the worker complete. */
+  /** Completes all tasks that run on the worker. */
   completeTasks(): void {
     for (const task of this.worker.tasks.values())
       if (task.standing === 'running') this.worker.exit(task, 'done', true);
   }
 
+  /** Replaces the leader by one with the next term. */
   changeLeader(): void {
     this.leader.stop();
     this.term++;
-    this.leader = this.lead();
+    this.leader = this.createLeader();
   }
 
-  /** The worker's reports are lost. */
+  /** Drops the worker's reports for a while. */
   dropReports(ms: number): void {
-    this.mutedUntil = this.time.now + ms;
+    this.reportsDroppedUntil = this.time.now + ms;
   }
 
-  /** Nothing that the worker sends gets through, reports and answers alike. */
+  /** Drops all that the worker sends, reports and answers alike, for a while. */
   dropAllFromWorker(ms: number): void {
     this.dropReports(ms);
-    this.silentUntil = this.time.now + ms;
+    this.callAnswersDroppedUntil = this.time.now + ms;
   }
 
-  /** The worker's reports arrive; no answer to them gets back. */
+  /** Drops the answers to the worker's reports for a while; the reports arrive. */
   dropReportResponses(ms: number): void {
-    this.deafUntil = this.time.now + ms;
+    this.reportAnswersDroppedUntil = this.time.now + ms;
   }
 
-  /** A copy of the next report arrives again, at whoever leads then. */
+  /** Delivers a duplicate of the next report later, to the leader of that time. */
   duplicateNextReport(afterMs: number): void {
-    this.copyAfterMs = afterMs;
+    this.duplicateAfterMs = afterMs;
   }
 
-  /** Tasks on the worker that the log does not have there: in quiet times there are none. */
+  /** Tasks on the worker without a live attempt in the log; none may remain once all calls have arrived. */
   strayTasks(): string[] {
     const onWorker = [...this.worker.tasks.values()].filter((task) => task.standing !== 'ended');
     return onWorker
       .filter((task) => {
-        const live = this.state.jobs.get(task.job.name_id as JobId)?.live.get(task.task);
-        return live?.attempt !== task.attempt;
+        const liveAttempt = this.state.jobs.get(task.job.name_id as JobId)?.live.get(task.task);
+        return liveAttempt?.attempt !== task.attempt;
       })
-      .map((task) => `${task.job.name_id}/${task.task} attempt ${task.attempt} stands, though it has ended`);
+      .map(
+        (task) =>
+          `${task.job.name_id}/${task.task} attempt ${task.attempt} is still on the worker after its end`,
+      );
   }
 
-  /** The machine stands still; what reaches it waits. */
+  /** Hangs the machine for a while: what arrives meanwhile waits. */
   hang(ms: number): void {
     this.hungUntil = this.time.now + ms;
     this.worker.hang(ms);
@@ -204,53 +221,57 @@
     return this.leader.statistics();
   }
 
-  private lead(): WorkersActor {
+  private createLeader(): WorkersActor {
     const leader: WorkersActor = createWorkersActor({
       state: this.state,
       time: this.time,
       call: this.directCalls(),
-      append: (append) => this.append(leader, append),
+      append: (request) => this.append(leader, request),
       term: this.term,
     });
     return leader;
   }
 
   private tick(): void {
-    this.time.after(TICK_MS, () => this.tick());
+    this.time.after(TICK_INTERVAL_MS, () => this.tick());
     this.leader.tell({ kind: 'tick' });
   }
 
-  /** A write takes a while; that of a leader that was deposed meanwhile is refused. */
-  private append(by: WorkersActor, append: AppendRequest): void {
-    this.time.after(WRITE_MS, () => {
-      if (by !== this.leader) return append.onSettled?.(false);
-      write(this.state, append.entries);
-      append.onSettled?.(true);
+  /** Writes after a delay; the write of a leader that was replaced meanwhile is refused. */
+  private append(writer: WorkersActor, request: AppendRequest): void {
+    this.time.after(LOG_WRITE_MS, () => {
+      if (writer !== this.leader) return request.onSettled?.(false);
+      write(this.state, request.entries);
+      request.onSettled?.(true);
     });
   }
 
+  /** Records a violation if the attempt that starts is not the live one in the log. */
   private checkStart(job: string, task: number): void {
     const started = [...this.worker.tasks.values()].find(
-      (t) => t.job.name_id === job && t.task === task && t.standing === 'fetching',
+      (candidate) =>
+        candidate.job.name_id === job && candidate.task === task && candidate.standing === 'fetching',
     );
-    const live = this.state.jobs.get(job as JobId)?.live.get(task);
-    if (live && live.attempt === started?.attempt) return;
+    const liveAttempt = this.state.jobs.get(job as JobId)?.live.get(task);
+    if (liveAttempt && liveAttempt.attempt === started?.attempt) return;
     const seconds = (this.time.now / 1000).toFixed(1);
-    this.violations.push(`${job}/${task} attempt ${started?.attempt} starts at ${seconds} s, after its end`);
+    this.violations.push(
+      `${job}/${task} attempt ${started?.attempt} starts at ${seconds} s, after its recorded end`,
+    );
   }
 
-  private reports(): HttpCall {
+  private reportCalls(): HttpCall {
     return (_address, _method, _path, body, timeoutMs) =>
       new Promise((resolve) => {
         this.time.after(timeoutMs, () => resolve(null));
-        this.time.after(ANSWER_MS, () => {
-          if (this.time.now < this.mutedUntil) return;
+        this.time.after(NETWORK_DELAY_MS, () => {
+          if (this.time.now < this.reportsDroppedUntil) return;
           this.answerReport(body, (answer) => {
-            if (this.time.now >= this.deafUntil) resolve(answer);
+            if (this.time.now >= this.reportAnswersDroppedUntil) resolve(answer);
           });
-          if (this.copyAfterMs > 0)
-            this.time.after(this.copyAfterMs, () => this.answerReport(body, () => {}));
-          this.copyAfterMs = 0;
+          if (this.duplicateAfterMs > 0)
+            this.time.after(this.duplicateAfterMs, () => this.answerReport(body, () => {}));
+          this.duplicateAfterMs = 0;
         });
       });
   }
@@ -275,15 +296,15 @@
       new Promise((resolve) => {
         const fate = this.fateOf(body as DirectBody);
         this.time.after(timeoutMs, () => resolve(null));
-        if (fate.garbled) this.time.after(ANSWER_MS, () => resolve({ status: 200, body: undefined }));
+        if (fate.garbled) this.time.after(NETWORK_DELAY_MS, () => resolve({ status: 200, body: undefined }));
         this.time.after(fate.deliveredAfterMs, () => this.deliver(path, body, fate.answered, resolve));
       });
   }
 
   private fateOf(body: DirectBody): CallFate {
-    if (!body.orders.some((order) => order.verb === 'launch')) return PROMPT;
+    if (!body.orders.some((order) => order.verb === 'launch')) return PROMPT_CALL;
     this.startsSent++;
-    return this.fates.shift() ?? PROMPT;
+    return this.fates.shift() ?? PROMPT_CALL;
   }
 
   private deliver(
@@ -297,7 +318,7 @@
         this.deliver(path, body, answered, resolve),
       );
     const answer = this.worker.handle(path, JSON.parse(JSON.stringify(body)));
-    if (!answered || this.time.now < this.silentUntil) return;
-    this.time.after(ANSWER_MS, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
+    if (!answered || this.time.now < this.callAnswersDroppedUntil) return;
+    this.time.after(NETWORK_DELAY_MS, () => resolve(JSON.parse(JSON.stringify(answer)) as HttpResponse));
   }
 }
--- a/test/fakes/state-service.ts
+++ b/test/fakes/state-service.ts
@@ -13,9 +13,7 @@
   apply: { write?: string; data?: unknown; tenure?: number; remove?: string }[];
 }
 
-/**
- * The state service: transactions with guards, leases, watches, limits, and the failures that tests cause.
- */
+/** The state service: transactions with guards, leases, watches, limits, and failures that tests cause. */
 export class FakeStateService {
   readonly kv = new Map<string, StoredValue>();
   /** Revision of the store; each change increments it. */
