--- a/test/fakes/worker.ts
+++ b/test/fakes/worker.ts
@@ -3,6 +3,7 @@
 import type { Checker, JobOnWire, MachineInfo } from './checker.js';
 import type { VirtualTime } from './clock.js';
 
+/** An attempt of a task on a worker, with the standing and cause of the protocol. */
 export interface WorkerTask {
   job: JobOnWire;
   task: number;
@@ -10,120 +11,142 @@
   standing: 'fetching' | 'waiting' | 'running' | 'flushing' | 'ended';
   cause?: string;
   stored?: boolean;
+  /** Incremented when timers of the task that are pending must no longer fire. */
   version: number;
 }
 
-/** A lease is not looked at more often. */
-const LEASE_CHECK_MS = 100;
+/** Shortest interval between two checks of the lease. */
+const MIN_LEASE_CHECK_INTERVAL_MS = 100;
 
-interface Order {
+/** A command on the wire. */
+interface WireCommand {
   verb: string;
   shift: string;
   try: number;
   leeway_s?: number;
 }
 
+/** What the workers of a simulation share. */
 export interface WorkerEnvironment {
   time: VirtualTime;
   random: () => number;
   checker: Checker;
   nodes: { name: string; address: string }[];
   type: (name: string) => MachineType;
-  runMs: (j: JobOnWire) => number;
+  /** Run time of a job's tasks. */
+  runMs: (job: JobOnWire) => number;
+  /** Jobs whose tasks fail on every machine. */
   failing: Set<string>;
   workers: Map<string, FakeWorker>;
   settings: { report_s: number; lease_s: number; gang_wait_s: number; gang_peer_s: number };
 }
 
-/** One machine's worker: tokens, sessions, lease, images, arrays and gangs. */
+/** The worker on one machine: reports, fence, sessions, lease, images, arrays and gangs. */
 export class FakeWorker {
   session = 1;
-  /** The highest seen. */
+  /** The highest fence received; commands with a lower one are refused. */
   highestFence = 0;
+  /** Attempts by `job/task#attempt`, until the controller clears them. */
   tasks = new Map<string, WorkerTask>();
   alive = true;
+  /** Every task on the machine ends with an error. */
   failsTasks = false;
+  /** Factor on the time to fetch an image. */
   fetchTimeFactor = 1;
+  /** Seconds until the cloud reclaims the machine, once it has given notice. */
   reclaimNoticeS: number | null = null;
-  private seq = 0;
-  private began: number;
-  private lastAnswered: number | null = null;
-  private node: number;
-  private inFlight = false;
-  private lastReport = -Infinity;
-  private dirty = false;
-  private timer: (() => void) | null = null;
-  private readonly images = new Set<string>();
+  private reportNumber = 0;
+  private sessionStartedAt: number;
+  /** When the last report was sent that got an answer; the lease runs from then. */
+  private leaseRenewedAt: number | null = null;
+  /** Index of the node that the worker reports to. */
+  private nodeIndex: number;
+  private isReporting = false;
+  private lastReportAt = -Infinity;
+  /** Something has changed since the last report. */
+  private hasUnreportedChanges = false;
+  private cancelTimer: (() => void) | null = null;
+  private readonly cachedImages = new Set<string>();
 
   constructor(
     readonly place: MachineInfo,
     readonly addr: string,
     private readonly call: HttpCall,
-    private readonly w: WorkerEnvironment,
+    private readonly environment: WorkerEnvironment,
   ) {
-    this.began = w.time.now;
-    this.node = Math.floor(w.random() * w.nodes.length);
+    this.sessionStartedAt = environment.time.now;
+    this.nodeIndex = Math.floor(environment.random() * environment.nodes.length);
     this.schedule(10);
-    this.leaseWatch();
+    this.watchLease();
   }
 
+  /** The machine is gone, and its tasks with it. */
   terminate(): void {
     this.alive = false;
-    for (const t of this.tasks.values()) this.leave(t, false);
+    for (const task of this.tasks.values()) this.abandon(task, false);
     this.tasks.clear();
-    this.w.workers.delete(this.place.id);
+    this.environment.workers.delete(this.place.id);
   }
 
-  /** The machine stands still: nothing runs, and what was on it goes on afterwards, if its lease lasts. */
+  /** Hangs the machine. Afterwards its tasks continue if its lease has not expired meanwhile. */
   hang(ms: number): void {
-    this.hungUntil = this.w.time.now + ms;
-    this.w.time.after(ms, () => this.checkLease());
+    this.hungUntil = this.environment.time.now + ms;
+    this.environment.time.after(ms, () => this.checkLease());
   }
   private hungUntil = 0;
 
-  /** Runs at once, or when the machine goes on. */
-  private awake(run: () => void): void {
-    if (this.hungUntil > this.w.time.now)
-      this.w.time.after(this.hungUntil - this.w.time.now, () => this.awake(run));
+  /** Runs at once, or when the machine resumes. */
+  private whenResumed(run: () => void): void {
+    if (this.hungUntil > this.environment.time.now)
+      this.environment.time.after(this.hungUntil - this.environment.time.now, () => this.whenResumed(run));
     else run();
   }
 
   private checkLease(): void {
-    if (this.alive && this.w.time.now - (this.lastAnswered ?? this.began) > this.w.settings.lease_s * 1000)
+    if (
+      this.alive &&
+      this.environment.time.now - (this.leaseRenewedAt ?? this.sessionStartedAt) >
+        this.environment.settings.lease_s * 1000
+    )
       this.startNewSession();
   }
 
-  /** Looks when the lease would be over, and again when it was renewed meanwhile. */
-  private leaseWatch(): void {
-    const left = (this.lastAnswered ?? this.began) + this.w.settings.lease_s * 1000 - this.w.time.now;
-    this.w.time.after(Math.max(LEASE_CHECK_MS, left + 1), () =>
-      this.awake(() => {
+  /** Checks the lease when it would expire, and again if it was renewed meanwhile. */
+  private watchLease(): void {
+    const remainingMs =
+      (this.leaseRenewedAt ?? this.sessionStartedAt) +
+      this.environment.settings.lease_s * 1000 -
+      this.environment.time.now;
+    this.environment.time.after(Math.max(MIN_LEASE_CHECK_INTERVAL_MS, remainingMs + 1), () =>
+      this.whenResumed(() => {
         this.checkLease();
-        if (this.alive) this.leaseWatch();
+        if (this.alive) this.watchLease();
       }),
     );
   }
 
-  /** The lease is over, or the machine is back after a restart. */
+  /** The lease has expired or the machine has restarted: all tasks end, and a new session begins. */
   startNewSession(): void {
-    for (const t of this.tasks.values()) this.leave(t, false);
+    for (const task of this.tasks.values()) this.abandon(task, false);
     this.tasks.clear();
     this.session++;
-    this.began = this.w.time.now;
-    this.lastAnswered = null;
-    this.changed();
+    this.sessionStartedAt = this.environment.time.now;
+    this.leaseRenewedAt = null;
+    this.reportSoon();
   }
 
   private schedule(ms: number): void {
-    this.timer?.();
-    this.timer = this.w.time.after(ms, () => this.awake(() => void this.report()));
+    this.cancelTimer?.();
+    this.cancelTimer = this.environment.time.after(ms, () => this.whenResumed(() => void this.report()));
   }
 
-  private changed(): void {
-    this.dirty = true;
-    if (!this.inFlight) this.schedule(Math.max(5, this.lastReport + 500 - this.w.time.now));
+  /** Schedules a report of a change. Reports are at least 500 ms apart. */
+  private reportSoon(): void {
+    this.hasUnreportedChanges = true;
+    if (!this.isReporting) this.schedule(Math.max(5, this.lastReportAt + 500 - this.environment.time.now));
   }
 
+  /** A report in the terms of the protocol. */
   reportBody(): object {
     return {
       mount: this.place.id,
@@ -132,198 +155,220 @@
       yard: this.place.zone,
       loaners: this.place.spot,
       stint: this.session,
-      tally: ++this.seq,
+      tally: ++this.reportNumber,
       warrant: this.highestFence,
       recall_s: this.reclaimNoticeS,
-      shifts: [...this.tasks.values()].map((t) => ({
-        shift: `${t.job.name_id}/${t.task}`,
-        try: t.attempt,
-        standing: t.standing,
-        cause: t.cause,
-        stored: t.stored,
+      shifts: [...this.tasks.values()].map((task) => ({
+        shift: `${task.job.name_id}/${task.task}`,
+        try: task.attempt,
+        standing: task.standing,
+        cause: task.cause,
+        stored: task.stored,
       })),
     };
   }
 
   private async report(): Promise<void> {
-    if (!this.alive || this.inFlight) return;
-    this.inFlight = true;
-    this.dirty = false;
-    const { time, nodes, settings, random } = this.w;
-    const sent = (this.lastReport = time.now);
+    if (!this.alive || this.isReporting) return;
+    this.isReporting = true;
+    this.hasUnreportedChanges = false;
+    const { time, nodes, settings, random } = this.environment;
+    const sentAt = (this.lastReportAt = time.now);
     const session = this.session;
-    const to = nodes[this.node]!;
-    const a = await this.call(to.address, 'POST', '/hello', this.reportBody(), 4000);
-    this.inFlight = false;
+    const target = nodes[this.nodeIndex]!;
+    const answer = await this.call(target.address, 'POST', '/hello', this.reportBody(), 4000);
+    this.isReporting = false;
     if (!this.alive) return;
-    let next = settings.report_s * 1000 * (0.75 + random() * 0.5);
-    if (a?.status === 200) {
-      const b = a.body as { warrant?: number; orders?: Order[] };
-      if (b.warrant !== undefined && b.warrant >= this.highestFence && session === this.session) {
-        this.highestFence = b.warrant;
-        this.lastAnswered = sent;
-        this.execute(b.orders ?? []);
+    let nextMs = settings.report_s * 1000 * (0.75 + random() * 0.5);
+    if (answer?.status === 200) {
+      const body = answer.body as { warrant?: number; orders?: WireCommand[] };
+      if (body.warrant !== undefined && body.warrant >= this.highestFence && session === this.session) {
+        this.highestFence = body.warrant;
+        this.leaseRenewedAt = sentAt;
+        this.execute(body.orders ?? []);
       }
     } else {
-      const steward = a?.status === 421 ? (a.body as { steward?: string } | undefined)?.steward : undefined;
-      const i = nodes.findIndex((n) => n.name === steward);
-      if (i >= 0 && i !== this.node) {
-        this.node = i;
-        next = random() * 500;
+      const steward =
+        answer?.status === 421 ? (answer.body as { steward?: string } | undefined)?.steward : undefined;
+      const leaderIndex = nodes.findIndex((node) => node.name === steward);
+      if (leaderIndex >= 0 && leaderIndex !== this.nodeIndex) {
+        this.nodeIndex = leaderIndex;
+        nextMs = random() * 500;
       } else {
-        this.node = (this.node + 1) % nodes.length;
-        next = 1000;
+        this.nodeIndex = (this.nodeIndex + 1) % nodes.length;
+        nextMs = 1000;
       }
     }
-    if (this.dirty) next = Math.min(next, Math.max(5, this.lastReport + 500 - time.now));
-    this.schedule(next);
+    if (this.hasUnreportedChanges) nextMs = Math.min(nextMs, Math.max(5, this.lastReportAt + 500 - time.now));
+    this.schedule(nextMs);
   }
 
+  /** Answers a direct call of a controller; null: no answer, since the machine is gone. */
   handle(path: string, body: unknown): HttpResponse | null {
     if (!this.alive) return null;
     if (path === '/show') return { status: 200, body: this.reportBody() };
-    const b = body as { warrant?: number; stint?: number; orders?: Order[] };
-    if (b.warrant === undefined || b.stint === undefined) return { status: 400, body: {} };
-    if (b.warrant < this.highestFence || b.stint !== this.session)
+    const call = body as { warrant?: number; stint?: number; orders?: WireCommand[] };
+    if (call.warrant === undefined || call.stint === undefined) return { status: 400, body: {} };
+    if (call.warrant < this.highestFence || call.stint !== this.session)
       return { status: 409, body: this.reportBody() };
-    this.highestFence = b.warrant;
-    this.execute(b.orders ?? []);
+    this.highestFence = call.warrant;
+    this.execute(call.orders ?? []);
     return { status: 200, body: this.reportBody() };
   }
 
-  private execute(orders: Order[]): void {
-    for (const o of orders) {
-      const key = `${o.shift}#${o.try}`;
-      const t = this.tasks.get(key);
-      if (o.verb === 'launch') {
-        if (!t) this.launch(o);
-      } else if (o.verb === 'clear') {
-        if (t?.standing === 'ended') this.tasks.delete(key);
-      } else if (t && t.standing !== 'ended') this.halt(t, o.leeway_s ?? 0);
+  private execute(commands: WireCommand[]): void {
+    for (const command of commands) {
+      const key = `${command.shift}#${command.try}`;
+      const task = this.tasks.get(key);
+      if (command.verb === 'launch') {
+        if (!task) this.start(command);
+      } else if (command.verb === 'clear') {
+        if (task?.standing === 'ended') this.tasks.delete(key);
+      } else if (task && task.standing !== 'ended') this.stop(task, command.leeway_s ?? 0);
     }
   }
 
-  private launch(o: Order): void {
-    const cut = o.shift.lastIndexOf('/');
-    const job = this.w.checker.job(o.shift.slice(0, cut));
-    if (!job) throw new Error(`launch of ${o.shift}, which nobody submitted`);
-    const t: WorkerTask = {
+  private start(command: WireCommand): void {
+    const slash = command.shift.lastIndexOf('/');
+    const job = this.environment.checker.job(command.shift.slice(0, slash));
+    if (!job) throw new Error(`start of ${command.shift}, whose job was not submitted`);
+    const task: WorkerTask = {
       job,
-      task: Number(o.shift.slice(cut + 1)),
-      attempt: o.try,
+      task: Number(command.shift.slice(slash + 1)),
+      attempt: command.try,
       standing: 'fetching',
       version: 0,
     };
-    const live = [...this.tasks.values()].filter((x) => x.standing !== 'ended');
-    this.tasks.set(`${o.shift}#${o.try}`, t);
-    const type = this.w.type(this.place.type);
-    if (live.some((x) => x.job === job && x.task === t.task)) return this.exit(t, 'in_use');
-    const cpus = live.reduce((a, x) => a + x.job.cpus, job.cpus);
-    const mem = live.reduce((a, x) => a + x.job.mem_gb, job.mem_gb);
-    if (cpus > type.cpus + 1e-6 || mem > type.mem + 1e-6) return this.exit(t, 'full');
-    this.changed();
-    this.later(
-      t,
-      this.images.has(job.kit) ? 5 : (job.image_gb / type.fetch) * 1000 * this.fetchTimeFactor,
+    const unfinished = [...this.tasks.values()].filter((other) => other.standing !== 'ended');
+    this.tasks.set(`${command.shift}#${command.try}`, task);
+    const type = this.environment.type(this.place.type);
+    if (unfinished.some((other) => other.job === job && other.task === task.task))
+      return this.exit(task, 'in_use');
+    const cpus = unfinished.reduce((sum, other) => sum + other.job.cpus, job.cpus);
+    const mem = unfinished.reduce((sum, other) => sum + other.job.mem_gb, job.mem_gb);
+    if (cpus > type.cpus + 1e-6 || mem > type.mem + 1e-6) return this.exit(task, 'full');
+    this.reportSoon();
+    this.runLater(
+      task,
+      this.cachedImages.has(job.kit) ? 5 : (job.image_gb / type.fetch) * 1000 * this.fetchTimeFactor,
       () => {
-        this.images.add(job.kit);
-        this.w.checker.start(job.name_id, t.task, this.place);
-        if (this.failsTasks || this.w.failing.has(job.name_id))
-          return this.later(t, 1000, () => this.exit(t, 'error', true));
+        this.cachedImages.add(job.kit);
+        this.environment.checker.start(job.name_id, task.task, this.place);
+        if (this.failsTasks || this.environment.failing.has(job.name_id))
+          return this.runLater(task, 1000, () => this.exit(task, 'error', true));
         if (job.shape === 'ensemble') {
-          t.standing = 'waiting';
-          this.changed();
-          this.later(t, this.w.settings.gang_wait_s * 1000, () => this.exit(t, 'incomplete', true));
-          this.gangMayStart(t);
-        } else this.run(t);
+          task.standing = 'waiting';
+          this.reportSoon();
+          this.runLater(task, this.environment.settings.gang_wait_s * 1000, () =>
+            this.exit(task, 'incomplete', true),
+          );
+          this.startCompleteGang(task);
+        } else this.run(task);
       },
     );
   }
 
-  private later(t: WorkerTask, ms: number, run: () => void): void {
-    const v = t.version;
-    const due = (): void => {
-      if (this.alive && t.version === v && this.tasks.get(`${t.job.name_id}/${t.task}#${t.attempt}`) === t)
+  /** Runs after a delay, unless the task's version has changed or the machine is gone. */
+  private runLater(task: WorkerTask, ms: number, run: () => void): void {
+    const version = task.version;
+    const runIfCurrent = (): void => {
+      if (
+        this.alive &&
+        task.version === version &&
+        this.tasks.get(`${task.job.name_id}/${task.task}#${task.attempt}`) === task
+      )
         run();
     };
-    this.w.time.after(ms, () => this.awake(due));
+    this.environment.time.after(ms, () => this.whenResumed(runIfCurrent));
   }
 
-  private peers(t: WorkerTask): { t: WorkerTask; on: FakeWorker }[] {
-    const out: { t: WorkerTask; on: FakeWorker }[] = [];
-    for (const on of this.w.workers.values())
-      for (const x of on.tasks.values())
-        if (x.job === t.job && x.attempt === t.attempt && x.standing !== 'ended') out.push({ t: x, on });
-    return out;
+  private gangMembers(task: WorkerTask): { task: WorkerTask; on: FakeWorker }[] {
+    const members: { task: WorkerTask; on: FakeWorker }[] = [];
+    for (const on of this.environment.workers.values())
+      for (const other of on.tasks.values())
+        if (other.job === task.job && other.attempt === task.attempt && other.standing !== 'ended')
+          members.push({ task: other, on });
+    return members;
   }
 
-  private gangMayStart(t: WorkerTask): void {
-    const all = this.peers(t).filter((x) => x.t.standing === 'waiting');
-    if (all.length < t.job.shifts) return;
-    const ms = this.w.runMs(t.job);
-    for (const x of all) x.on.run(x.t, ms);
+  /** Starts the gang once all its tasks wait. */
+  private startCompleteGang(task: WorkerTask): void {
+    const waiting = this.gangMembers(task).filter((member) => member.task.standing === 'waiting');
+    if (waiting.length < task.job.shifts) return;
+    const ms = this.environment.runMs(task.job);
+    for (const member of waiting) member.on.run(member.task, ms);
   }
 
-  private run(t: WorkerTask, ms = this.w.runMs(t.job)): void {
-    t.version++;
-    t.standing = 'running';
-    this.changed();
-    this.later(t, ms, () => {
-      if (t.job.shape === 'ensemble') for (const p of this.peers(t)) p.on.exit(p.t, 'done', true);
-      else this.exit(t, 'done', true);
+  private run(task: WorkerTask, ms = this.environment.runMs(task.job)): void {
+    task.version++;
+    task.standing = 'running';
+    this.reportSoon();
+    this.runLater(task, ms, () => {
+      if (task.job.shape === 'ensemble')
+        for (const member of this.gangMembers(task)) member.on.exit(member.task, 'done', true);
+      else this.exit(task, 'done', true);
     });
   }
 
-  private halt(t: WorkerTask, leeway: number): void {
-    if (t.standing === 'flushing') {
-      if (leeway === 0) this.exit(t, 'stopped', true);
+  private stop(task: WorkerTask, leewayS: number): void {
+    if (task.standing === 'flushing') {
+      if (leewayS === 0) this.exit(task, 'stopped', true);
       return;
     }
-    if (t.standing === 'running' && t.job.waymark_s > 0 && leeway >= t.job.stow_s) {
-      t.version++;
-      t.standing = 'flushing';
-      this.changed();
-      this.later(t, t.job.stow_s * 1000, () => {
-        t.stored = true;
-        this.exit(t, 'stopped', true);
+    if (task.standing === 'running' && task.job.waymark_s > 0 && leewayS >= task.job.stow_s) {
+      task.version++;
+      task.standing = 'flushing';
+      this.reportSoon();
+      this.runLater(task, task.job.stow_s * 1000, () => {
+        task.stored = true;
+        this.exit(task, 'stopped', true);
       });
-    } else this.exit(t, 'stopped', t.standing !== 'fetching');
+    } else this.exit(task, 'stopped', task.standing !== 'fetching');
   }
 
-  exit(t: WorkerTask, cause: string, started = false): void {
-    const ran = t.standing === 'running' || t.standing === 'flushing';
-    t.version++;
-    if (started) this.w.checker.end(t.job.name_id, t.task, this.place, cause === 'done');
-    t.standing = 'ended';
-    t.cause = cause;
-    this.changed();
-    if (ran && cause !== 'done' && t.job.shape === 'ensemble') this.gangBroke(t);
+  /** Ends a task with a cause; `started` tells whether the checker saw its start. */
+  exit(task: WorkerTask, cause: string, started = false): void {
+    const wasRunning = task.standing === 'running' || task.standing === 'flushing';
+    task.version++;
+    if (started) this.environment.checker.end(task.job.name_id, task.task, this.place, cause === 'done');
+    task.standing = 'ended';
+    task.cause = cause;
+    this.reportSoon();
+    if (wasRunning && cause !== 'done' && task.job.shape === 'ensemble') this.failGang(task);
   }
 
-  private gangBroke(t: WorkerTask): void {
-    for (const p of this.peers(t))
-      if (p.t.standing === 'running') {
-        // A gang that lost a task makes no progress, so none of the others can complete.
-        p.t.version++;
-        p.on.later(p.t, this.w.settings.gang_peer_s * 900, () => p.on.exit(p.t, 'peers', true));
+  /** The other tasks of a gang notice the loss of one and end. */
+  private failGang(task: WorkerTask): void {
+    for (const member of this.gangMembers(task))
+      if (member.task.standing === 'running') {
+        // A gang that has lost a task makes no progress, so none of the others can complete.
+        member.task.version++;
+        member.on.runLater(member.task, this.environment.settings.gang_peer_s * 900, () =>
+          member.on.exit(member.task, 'peers', true),
+        );
       }
   }
 
-  /** What the machine has free. */
+  /** CPUs and memory that no task uses. */
   get freeResources(): { place: MachineInfo; cpus: number; mem: number } {
-    const type = this.w.type(this.place.type);
-    const live = [...this.tasks.values()].filter((t) => t.standing !== 'ended');
-    const sum = (of: (j: JobOnWire) => number): number => live.reduce((a, t) => a + of(t.job), 0);
-    return { place: this.place, cpus: type.cpus - sum((j) => j.cpus), mem: type.mem - sum((j) => j.mem_gb) };
+    const type = this.environment.type(this.place.type);
+    const unfinished = [...this.tasks.values()].filter((task) => task.standing !== 'ended');
+    const total = (amountOf: (job: JobOnWire) => number): number =>
+      unfinished.reduce((sum, task) => sum + amountOf(task.job), 0);
+    return {
+      place: this.place,
+      cpus: type.cpus - total((job) => job.cpus),
+      mem: type.mem - total((job) => job.mem_gb),
+    };
   }
 
-  /** A task that goes without an exit: lease over, or machine gone. */
-  private leave(t: WorkerTask, done: boolean): void {
-    const ran = t.standing === 'running' || t.standing === 'flushing';
-    const started = ran || t.standing === 'waiting';
-    t.version++;
-    if (started) this.w.checker.end(t.job.name_id, t.task, this.place, done);
-    t.standing = 'ended';
-    if (ran && t.job.shape === 'ensemble') this.gangBroke(t);
+  /** Ends a task without an exit, because the lease has expired or the machine is gone. */
+  private abandon(task: WorkerTask, done: boolean): void {
+    const wasRunning = task.standing === 'running' || task.standing === 'flushing';
+    const started = wasRunning || task.standing === 'waiting';
+    task.version++;
+    if (started) this.environment.checker.end(task.job.name_id, task.task, this.place, done);
+    task.standing = 'ended';
+    if (wasRunning && task.job.shape === 'ensemble') this.failGang(task);
   }
 }
