--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -19,8 +19,10 @@
 import { FakeStateService } from './state-service.js';
 import { FakeWorker, type WorkerEnvironment } from './worker.js';
 
+/** A logger that discards everything. */
 export const silent: Logger = { info: () => {}, debug: () => {}, error: () => {}, warn: () => {} };
 
+/** The machine type that most tests rent. */
 export const box: MachineType = {
   name: 'box',
   cpus: 8,
@@ -39,18 +41,23 @@
   { name: 'blue', cpus: 16, cpus_max: 48, gpus: 0, gpus_max: 0 },
 ];
 
-/** What a site sets in place of the small one's settings. */
-export type Site = Partial<Record<'teams' | 'state' | 'cloud' | 'machine_limits' | 'workers', unknown>>;
+/** Settings of the cluster that replace the defaults below. */
+export type ClusterOverrides = Partial<
+  Record<'teams' | 'state' | 'cloud' | 'machine_limits' | 'workers', unknown>
+>;
 
-export function settingsFor(i: number, n = 3, site: Site = {}): Settings {
+/** Settings of node `index` of `nodes`. */
+export function settingsFor(index: number, nodes = 3, overrides: ClusterOverrides = {}): Settings {
   return readSettings({
-    node: `n${i}`,
+    node: `n${index}`,
     area: 'a',
-    serve_on: `n${i}:80`,
-    back: `n${i}:81`,
-    seeds: Array.from({ length: n }, (_, j) => ({ node: `n${j}`, area: 'a', peer_addr: `n${j}:81` })).filter(
-      (p) => p.node !== `n${i}`,
-    ),
+    serve_on: `n${index}:80`,
+    back: `n${index}:81`,
+    seeds: Array.from({ length: nodes }, (_, other) => ({
+      node: `n${other}`,
+      area: 'a',
+      peer_addr: `n${other}:81`,
+    })).filter((seed) => seed.node !== `n${index}`),
     external: { cloud: 'cloud:1', state: 'state:1' },
     cluster: {
       zones: ['a', 'b'],
@@ -60,23 +67,24 @@
       state: { rps: 120, write_rps: 50, value_kb: 8, txn_ops: 24 },
       cloud: { rps: 5, list_lag_s: 6 },
       time_bound_ms: 250,
-      ...site,
+      ...overrides,
     },
   });
 }
 
-/** Entries of one record, applied. */
+/** Applies one record with the given entries to a state. */
 export const write = (state: ClusterState, entries: LogEntry[], at = 0): void =>
   state.apply(state.nextRecord, { term: 1 as Term, tag: 1, at: at as WallMs, entries });
 
-interface NodeHere {
+interface SimulatedNode {
   name: string;
   controller: Controller;
   clock: NodeClock;
+  /** Number of times that the process was started. */
   runs: number;
 }
 
-/** A whole deployment on virtual time: nodes, state service, cloud, workers and users. */
+/** A whole deployment in virtual time: nodes, state service, cloud, workers and users. */
 export class World {
   readonly time = new VirtualTime();
   readonly network: FakeNetwork;
@@ -84,187 +92,202 @@
   readonly cloud: FakeCloud;
   readonly checker: Checker;
   readonly workers = new Map<string, FakeWorker>();
-  readonly nodes: NodeHere[] = [];
-  /** What each job's tasks take, by the job's name. */
-  runMs: (j: JobOnWire) => number = (j) => j.reckon_s * 1000;
-  /** How many times as long as usual a machine fetches images. */
+  readonly nodes: SimulatedNode[] = [];
+  /** Run time of a job's tasks. */
+  runMs: (job: JobOnWire) => number = (job) => job.reckon_s * 1000;
+  /** Factor on the time in which a machine fetches images. */
   fetchTimeFactor: (machine: string) => number = () => 1;
-  /** Jobs submitted with a mistake: their tasks fail on every machine. */
+  /** Jobs whose tasks fail on every machine. */
   readonly failingJobs = new Set<string>();
   private readonly rng;
-  private ids = 1;
+  private nextJobNumber = 1;
 
   constructor(
     seed: number,
     types: MachineType[] = [box],
-    private readonly site: Site = {},
+    private readonly overrides: ClusterOverrides = {},
   ) {
     this.rng = xoroshiro128plus(seed);
     this.network = new FakeNetwork(this.time, () => this.random());
-    const s = settingsFor(0, 3, site).cluster;
-    this.state = new FakeStateService(this.time, s.state);
+    const cluster = settingsFor(0, 3, overrides).cluster;
+    this.state = new FakeStateService(this.time, cluster.state);
     this.checker = new Checker(
       () => this.time.now,
-      teamsOf(settingsFor(0, 3, site)),
+      teamsOf(settingsFor(0, 3, overrides)),
       types,
-      s.workers.cancel_s * 1000,
+      cluster.workers.cancel_s * 1000,
     );
-    const ww: WorkerEnvironment = {
+    const environment: WorkerEnvironment = {
       time: this.time,
       random: () => this.random(),
       checker: this.checker,
       nodes: [0, 1, 2].map((i) => ({ name: `n${i}`, address: `n${i}:80` })),
-      type: (n) => types.find((t) => t.name === n)!,
-      runMs: (j) => this.runMs(j),
+      type: (name) => types.find((type) => type.name === name)!,
+      runMs: (job) => this.runMs(job),
       workers: this.workers,
-      settings: s.workers,
+      settings: cluster.workers,
       failing: this.failingJobs,
     };
     this.cloud = new FakeCloud(
       this.time,
       () => this.random(),
       types,
-      s.cloud.list_lag_s * 1000,
-      (p) => {
-        const addr = `${p.id}:9000`;
-        const w = new FakeWorker(
-          { ...p },
+      cluster.cloud.list_lag_s * 1000,
+      (machine) => {
+        const addr = `${machine.id}:9000`;
+        const worker = new FakeWorker(
+          { ...machine },
           addr,
-          this.network.caller(p.id, () => true),
-          ww,
+          this.network.caller(machine.id, () => true),
+          environment,
         );
-        w.fetchTimeFactor = this.fetchTimeFactor(p.id);
-        this.workers.set(p.id, w);
-        this.network.listen(addr, (_m, path, body) => w.handle(path, body));
-        return w;
+        worker.fetchTimeFactor = this.fetchTimeFactor(machine.id);
+        this.workers.set(machine.id, worker);
+        this.network.listen(addr, (_method, path, body) => worker.handle(path, body));
+        return worker;
       },
       (id) => this.workers.get(id),
     );
-    this.network.listen('cloud:1', (m, p, b) => this.cloud.handle(m, p, b));
+    this.network.listen('cloud:1', (method, path, body) => this.cloud.handle(method, path, body));
     for (let i = 0; i < 3; i++) {
       this.nodes.push({ name: `n${i}`, controller: null as never, clock: null as never, runs: 0 });
       this.startNode(i);
     }
   }
 
+  /** A number from 0 to below 1, determined by the seed. */
   random(): number {
     return uniformInt(this.rng, 0, 999_999) / 1_000_000;
   }
 
-  /** Starts a node's process; a former run of it must have been crashed. */
-  startNode(i: number): void {
-    const here = this.nodes[i]!;
-    const name = here.name;
-    const run = `${name}-${++here.runs}`;
+  /** Starts a node's process. A previous process of the node must have crashed. */
+  startNode(index: number): void {
+    const node = this.nodes[index]!;
+    const name = node.name;
+    const run = `${name}-${++node.runs}`;
     const clock = new NodeClock(this.time, 1 + (this.random() - 0.5) * 0.001, (this.random() - 0.5) * 500);
-    here.clock = clock;
+    node.clock = clock;
     const call = this.network.caller(name, () => !clock.dead);
-    // The state service sees who asks: a single node may be refused.
+    // An address for each node, so that the state service knows the caller and may refuse a single node.
     const address = `state-for-${name}:1`;
-    this.network.listen(address, (m, p, b) => this.state.handle(name, m, p, b));
-    const rng = xoroshiro128plus(here.runs * 10 + i);
+    this.network.listen(address, (method, path, body) => this.state.handle(name, method, path, body));
+    const rng = xoroshiro128plus(node.runs * 10 + index);
     const controller = new Controller(
       {
         clock,
-        store: new StateServiceClient((_a, m, p, b, t) => call(address, m, p, b, t), address),
+        store: new StateServiceClient(
+          (_address, method, path, body, timeoutMs) => call(address, method, path, body, timeoutMs),
+          address,
+        ),
         cloud: new CloudClient(call, 'cloud:1'),
         call,
-        random: { intBelow: (n) => uniformInt(rng, 0, n - 1) },
+        random: { intBelow: (bound) => uniformInt(rng, 0, bound - 1) },
         logger: silent,
-        settings: settingsFor(i, 3, this.site),
+        settings: settingsFor(index, 3, this.overrides),
         policy: defaultPolicy,
         measure: () => {},
         deflate: (text) => Promise.resolve(deflateSync(text)),
       },
       run,
     );
-    here.controller = controller;
-    // A connection of its own for each worker, as on the wire.
+    node.controller = controller;
+    // A reader for each worker, as each has its own connection.
     const readers = new Map<string, ReportReader>();
-    this.network.listen(`${name}:80`, (_m, path, body) => {
+    this.network.listen(`${name}:80`, (_method, path, body) => {
       if (path !== '/hello') return { status: 404, body: {} };
       const machine = (body as { mount: string }).mount;
       const reader = readers.get(machine) ?? new ReportReader();
       readers.set(machine, reader);
-      const r = reader.read(JSON.stringify(body))!;
-      return new Promise((ok) =>
-        controller.handleReport(r, (h) =>
-          ok(
-            h.kind === 'commands'
-              ? { status: 200, body: writeReportAnswer(h.term, h.fence, h.commands) }
-              : { status: 421, body: writeRedirect(h.leader) },
+      const report = reader.read(JSON.stringify(body))!;
+      return new Promise((resolve) =>
+        controller.handleReport(report, (outcome) =>
+          resolve(
+            outcome.kind === 'commands'
+              ? { status: 200, body: writeReportAnswer(outcome.term, outcome.fence, outcome.commands) }
+              : { status: 421, body: writeRedirect(outcome.leader) },
           ),
         ),
       );
     });
-    this.network.listen(`${name}:81`, (_m, path, body) => {
+    this.network.listen(`${name}:81`, (_method, path, body) => {
       if (path === '/status') {
         controller.handlePeerStatus(body as PeerStatus);
         return { status: 200, body: controller.status() };
       }
-      return controller.requests.answerPeer(body as PeerRequest).then((a) => ({ status: 200, body: a }));
+      return controller.requests
+        .answerPeer(body as PeerRequest)
+        .then((answer) => ({ status: 200, body: answer }));
     });
-    const known = new Map<string, { status: PeerStatus; at: number }>();
-    const isConnected = (node: string): boolean => this.time.now - (known.get(node)?.at ?? -Infinity) < 1500;
+    /** The latest status of each peer, and when it came. */
+    const peerStatuses = new Map<string, { status: PeerStatus; at: number }>();
+    const isConnected = (peer: string): boolean =>
+      this.time.now - (peerStatuses.get(peer)?.at ?? -Infinity) < 1500;
     const peers: Peers = {
-      ask: async (node, ask) =>
-        !isConnected(node)
+      ask: async (to, request) =>
+        !isConnected(to)
           ? null
-          : (((await call(`${node}:81`, 'POST', '/ask', ask, 1500))?.body as PeerResponse | undefined) ??
+          : (((await call(`${to}:81`, 'POST', '/ask', request, 1500))?.body as PeerResponse | undefined) ??
             null),
       isConnected,
-      statuses: () => [...known.values()].map((k) => ({ status: k.status, ageMs: this.time.now - k.at })),
+      statuses: () =>
+        [...peerStatuses.values()].map((known) => ({
+          status: known.status,
+          ageMs: this.time.now - known.at,
+        })),
     };
-    const gossip = (): void => {
-      clock.after(500, gossip);
-      for (const p of this.nodes) {
-        if (p.name === name) continue;
-        const asked = clock.steady();
-        void call(`${p.name}:81`, 'POST', '/status', controller.status(), 1000).then((a) => {
-          if (!a) return;
-          const s = a.body as PeerStatus;
-          known.set(s.node, { status: s, at: this.time.now });
-          controller.handlePeerStatus(s, asked);
+    const exchangeStatuses = (): void => {
+      clock.after(500, exchangeStatuses);
+      for (const peer of this.nodes) {
+        if (peer.name === name) continue;
+        const askedAt = clock.steady();
+        void call(`${peer.name}:81`, 'POST', '/status', controller.status(), 1000).then((answer) => {
+          if (!answer) return;
+          const status = answer.body as PeerStatus;
+          peerStatuses.set(status.node, { status: status, at: this.time.now });
+          controller.handlePeerStatus(status, askedAt);
         });
       }
     };
-    clock.after(50, gossip);
+    clock.after(50, exchangeStatuses);
     void controller.start(peers);
   }
 
-  /** Ends a node's process; it comes back after a while. */
-  crash(i: number, backMs: number): void {
-    const here = this.nodes[i]!;
-    here.clock.dead = true;
-    this.network.close(`${here.name}:80`);
-    this.network.close(`${here.name}:81`);
-    this.time.after(backMs, () => this.startNode(i));
+  /** Ends a node's process and restarts it after a while. */
+  crash(index: number, restartAfterMs: number): void {
+    const node = this.nodes[index]!;
+    node.clock.dead = true;
+    this.network.close(`${node.name}:80`);
+    this.network.close(`${node.name}:81`);
+    this.time.after(restartAfterMs, () => this.startNode(index));
   }
 
-  /** A node's process stands still while its clocks run on. */
-  freeze(i: number, ms: number): void {
-    this.nodes[i]!.clock.frozenUntil = this.time.now + ms;
-    this.network.freeze(`n${i}`, ms);
+  /** Pauses a node's process while its clocks run on. */
+  freeze(index: number, ms: number): void {
+    this.nodes[index]!.clock.frozenUntil = this.time.now + ms;
+    this.network.freeze(`n${index}`, ms);
   }
 
-  /** A machine hangs, and its host with it. */
+  /** Hangs a machine: its worker is paused, and what arrives meanwhile waits. */
   hang(id: string, ms: number): void {
     this.network.freeze(id, ms);
     this.workers.get(id)?.hang(ms);
   }
 
+  /** Index of the node that leads; -1: none. */
   leader(): number {
-    return this.nodes.findIndex((n) => !n.clock.dead && n.controller.status().leading);
+    return this.nodes.findIndex((node) => !node.clock.dead && node.controller.status().leading);
   }
 
+  /** Runs until a node leads, and two seconds more. */
   async started(): Promise<void> {
     await this.time.runUntil(() => this.leader() >= 0, 10_000);
     await this.time.run(2000);
   }
 
+  /** A job with a new name, an array of four tasks unless stated otherwise. */
   job(over: Partial<JobOnWire> = {}): JobOnWire {
     return {
-      name_id: `wk-${String(this.ids++).padStart(6, '0')}`,
+      name_id: `wk-${String(this.nextJobNumber++).padStart(6, '0')}`,
       duty: 'any',
       desk: 'red',
       shape: 'array',
@@ -288,63 +311,68 @@
     };
   }
 
-  /** One request of a user at some node; the checker sees the answer. */
+  /** Sends one request of a user to a node, by default a random one, and shows the answer to the checker. */
   async ask(
     kind: 'submit' | 'show' | 'withdraw',
     id: string,
     job?: JobOnWire,
-    at = Math.floor(this.random() * 3),
+    index = Math.floor(this.random() * 3),
   ): Promise<{ status: number; standing?: string; retryAfter?: number }> {
-    const n = this.nodes[at]!;
-    if (n.clock.dead) return { status: 0 };
-    const c = n.controller;
+    const node = this.nodes[index]!;
+    if (node.clock.dead) return { status: 0 };
+    const controller = node.controller;
     let spec;
     if (job) {
-      const r = readJob(job);
-      if ('error' in r) return { status: 400 };
-      spec = r.spec;
+      const parsed = readJob(job);
+      if ('error' in parsed) return { status: 400 };
+      spec = parsed.spec;
     }
     if (kind === 'withdraw') this.checker.cancellationRequested(id);
-    const answer = c.requests.answer({ kind, job: id as JobId, spec }).then((r) => ({
-      status: r.status,
-      standing: (r.body as { standing?: string }).standing,
-      retryAfter: r.retryAfter,
+    const answered = controller.requests.answer({ kind, job: id as JobId, spec }).then((response) => ({
+      status: response.status,
+      standing: (response.body as { standing?: string }).standing,
+      retryAfter: response.retryAfter,
     }));
-    const none = new Promise<{ status: number; standing?: string; retryAfter?: number }>((ok) =>
-      this.time.after(5000, () => ok({ status: 0 })),
+    const timedOut = new Promise<{ status: number; standing?: string; retryAfter?: number }>((resolve) =>
+      this.time.after(5000, () => resolve({ status: 0 })),
     );
-    const r = await Promise.race([answer, none]);
-    if (!n.clock.dead && n.controller === c) this.checker.answer(kind, id, r.status, r.standing);
-    return r;
+    const answer = await Promise.race([answered, timedOut]);
+    if (!node.clock.dead && node.controller === controller)
+      this.checker.answer(kind, id, answer.status, answer.standing);
+    return answer;
   }
 
-  /** A user who does not give up: submits, polls until the end, and may cancel. */
+  /**
+   * A user who submits a job until it is accepted, then polls or, after `cancelAfterMs`, cancels until it is
+   * over.
+   */
   user(job: JobOnWire, cancelAfterMs: number | null = null): void {
     this.checker.submitted(job);
     const id = job.name_id;
     let accepted = false;
-    let cancel = false;
-    let over = false;
+    let isCancelling = false;
+    let isOver = false;
     const submit = async (): Promise<void> => {
-      const r = await this.ask('submit', id, job);
-      if (r.status === 200 || r.status === 201) accepted = true;
+      const answer = await this.ask('submit', id, job);
+      if (answer.status === 200 || answer.status === 201) accepted = true;
       else this.time.after(1000, () => void submit());
     };
     const poll = async (): Promise<void> => {
-      if (over) return;
+      if (isOver) return;
       if (accepted) {
-        const r = await this.ask(cancel ? 'withdraw' : 'show', id);
-        if (r.standing === 'done' || r.standing === 'aborted') over = true;
+        const answer = await this.ask(isCancelling ? 'withdraw' : 'show', id);
+        if (answer.standing === 'done' || answer.standing === 'aborted') isOver = true;
       }
-      this.time.after(cancel ? 1000 : 3000, () => void poll());
+      this.time.after(isCancelling ? 1000 : 3000, () => void poll());
     };
-    if (cancelAfterMs !== null) this.time.after(cancelAfterMs, () => (cancel = true));
+    if (cancelAfterMs !== null) this.time.after(cancelAfterMs, () => (isCancelling = true));
     void submit();
     void poll();
   }
 
+  /** Whether at least one job was accepted and the users know of every accepted job that it is over. */
   allJobsFinished(): boolean {
     const ids = this.checker.accepted();
-    return ids.length > 0 && ids.every((i) => ['done', 'aborted'].includes(this.checker.standing(i)!));
+    return ids.length > 0 && ids.every((id) => ['done', 'aborted'].includes(this.checker.standing(id)!));
   }
 }
