--- a/test/known-red.test.ts
+++ b/test/known-red.test.ts
@@ -1,23 +1,23 @@
 import { describe, expect, it } from 'vitest';
-import { judge, readKnownRed, type TestOutcome } from '../tools/ci/known-red.js';
+import { compareWithKnown, readKnownFailures, type TestOutcome } from '../tools/ci/known-red.js';
 
 const line = (test: string): string => `${test} | npx vitest run ${test.split(' > ')[0]} | nobody leads | #1`;
 const outcome = (name: string, state: TestOutcome['state']): TestOutcome => ({ name, state });
 
 describe('the list of known failures', () => {
-  it('has a test, its command, what was seen and an issue a line', () => {
-    expect(readKnownRed('')).toEqual([]);
-    expect(readKnownRed(`${line('a > b')}\n\n`)).toEqual([
+  it('has one entry a line: the test, its command, what was seen and an issue', () => {
+    expect(readKnownFailures('')).toEqual([]);
+    expect(readKnownFailures(`${line('a > b')}\n\n`)).toEqual([
       { test: 'a > b', command: 'npx vitest run a', seen: 'nobody leads', issue: '#1' },
     ]);
   });
 
-  it('has as many lines as there are known failures', () => {
-    expect(readKnownRed(['a', 'b', 'c', 'd'].map(line).join('\n'))).toHaveLength(4);
+  it('may have any number of entries', () => {
+    expect(readKnownFailures(['a', 'b', 'c', 'd'].map(line).join('\n'))).toHaveLength(4);
   });
 
-  it('names the line and the field that is missing', () => {
-    const missing: [string, string][] = [
+  it('is refused if a field is missing, with the line and the field in the error', () => {
+    const incomplete: [string, string][] = [
       [' | run a | seen | #1', 'test'],
       ['a', 'command'],
       ['a | run a', 'seen'],
@@ -25,38 +25,40 @@
       ['a | run a | seen', 'issue'],
       ['a | run a | seen | ', 'issue'],
     ];
-    for (const [wrong, field] of missing)
-      expect(() => readKnownRed(`${line('ok')}\n\n${wrong}`)).toThrow(
-        `line 3: the field "${field}" is missing`,
+    for (const [entry, field] of incomplete)
+      expect(() => readKnownFailures(`${line('ok')}\n\n${entry}`)).toThrow(
+        `line 3: field "${field}": expected text, found nothing`,
       );
   });
 
-  it('takes no line with a field too many, and no command that runs another file', () => {
-    expect(() => readKnownRed('a | run a | seen | #1 | more')).toThrow('line 1: expected "test | command');
-    expect(() => readKnownRed('a > b | run c | seen | #1')).toThrow(
-      'line 1: the field "command" doesn\'t run a',
+  it('is refused if an entry has too many fields, or a command that runs another file', () => {
+    expect(() => readKnownFailures('a | run a | seen | #1 | more')).toThrow(
+      'line 1: expected "test | command',
+    );
+    expect(() => readKnownFailures('a > b | run c | seen | #1')).toThrow(
+      'line 1: field "command": expected a command that runs a, found "run c"',
     );
   });
 });
 
-describe('a run of the tests', () => {
-  const known = readKnownRed(line('a'));
+describe('a test run', () => {
+  const known = readKnownFailures(line('a'));
 
-  it('passes with exactly the known failures, and names them', () => {
-    const verdict = judge(known, [outcome('a', 'failed'), outcome('b', 'passed')]);
+  it('passes if exactly the known failures occur, and names them', () => {
+    const verdict = compareWithKnown(known, [outcome('a', 'failed'), outcome('b', 'passed')]);
     expect(verdict).toEqual({ tolerated: known, problems: [] });
   });
 
-  it('fails on any other failure', () => {
-    const { problems } = judge(known, [outcome('a', 'failed'), outcome('b', 'failed')]);
+  it('fails if a test fails that is not listed', () => {
+    const { problems } = compareWithKnown(known, [outcome('a', 'failed'), outcome('b', 'failed')]);
     expect(problems).toEqual(['failed: b']);
   });
 
-  it('fails on a listed test that passes, is skipped, or does not exist', () => {
-    expect(judge(known, [outcome('a', 'passed')]).problems).toEqual([
-      'listed in KNOWN-RED.txt, and passed: a',
+  it('fails if a listed test passes, is skipped or does not exist', () => {
+    expect(compareWithKnown(known, [outcome('a', 'passed')]).problems).toEqual([
+      'listed in KNOWN-RED.txt, but passed: a',
     ]);
-    expect(judge(known, [outcome('a', 'skipped')]).problems).toHaveLength(1);
-    expect(judge(known, []).problems).toEqual(['listed in KNOWN-RED.txt, and there is no such test: a']);
+    expect(compareWithKnown(known, [outcome('a', 'skipped')]).problems).toHaveLength(1);
+    expect(compareWithKnown(known, []).problems).toEqual(['listed in KNOWN-RED.txt, but does not exist: a']);
   });
 });
--- a/tools/ci/known-red.ts
+++ b/tools/ci/known-red.ts
@@ -1,71 +1,77 @@
 /**
- * Tests that are known to fail for a real fault: what `KNOWN-RED.txt` says of them, and whether a run of the
- * tests agrees with it.
+ * Tests that fail because of a known fault: reads their list, `KNOWN-RED.txt`, and compares it with the
+ * outcome of a test run.
  */
 
-/** The fields of a line, in order. */
+/** Fields of an entry, in order. */
 const FIELDS = ['test', 'command', 'seen', 'issue'] as const;
 
-/** One line of the file: `test | command | seen | issue`. */
-export interface KnownRed {
-  /** As the runner names it: `file > suite > test`. */
+/** An entry of the file, one line: `test | command | seen | issue`. */
+export interface KnownFailure {
+  /** Full name, in the form `file > suite > test`. */
   test: string;
-  /** Runs that test alone, with its seed where it takes one, and fails. */
+  /** Runs only that test, with its seed if it has one. */
   command: string;
-  /** What was seen. */
+  /** How the test fails. */
   seen: string;
   issue: string;
 }
 
+/** Outcome of one test of a run. */
 export interface TestOutcome {
+  /** Full name, in the form `file > suite > test`. */
   name: string;
   state: 'passed' | 'failed' | 'skipped' | 'pending';
 }
 
+/** Result of the comparison of a run with the known failures. */
 export interface Verdict {
-  /** Known failures that did fail. */
-  tolerated: KnownRed[];
-  /** Why the run as a whole fails, a line each; empty when it passes. */
+  /** Known failures that failed. */
+  tolerated: KnownFailure[];
+  /** Reasons why the run as a whole fails, one line each; empty if it passes. */
   problems: string[];
 }
 
-/** Reads the file's text. Throws an Error that names the line and the field when it can't be accepted. */
-export function readKnownRed(text: string): KnownRed[] {
+/**
+ * Parses the text of the file. Throws an Error that names the line and the field of the first invalid entry.
+ */
+export function readKnownFailures(text: string): KnownFailure[] {
   const lines = text.split('\n').map((line, index) => ({ line, number: index + 1 }));
   return lines.filter(({ line }) => line.trim() !== '').map(({ line, number }) => readLine(line, number));
 }
 
-function readLine(line: string, number: number): KnownRed {
-  const problem = (what: string): Error => new Error(`KNOWN-RED.txt, line ${number}: ${what}`);
+function readLine(line: string, number: number): KnownFailure {
+  const invalid = (reason: string): Error => new Error(`KNOWN-RED.txt, line ${number}: ${reason}`);
   const parts = line.split(' | ').map((part) => part.trim());
-  if (parts.length > FIELDS.length) throw problem(`expected "${FIELDS.join(' | ')}", found "${line}"`);
+  if (parts.length > FIELDS.length) throw invalid(`expected "${FIELDS.join(' | ')}", found "${line}"`);
   for (const [index, field] of FIELDS.entries())
-    if (!parts[index]) throw problem(`the field "${field}" is missing`);
+    if (!parts[index]) throw invalid(`field "${field}": expected text, found nothing`);
   const [test, command, seen, issue] = parts as [string, string, string, string];
   const file = test.split(' > ')[0]!;
-  if (!command.includes(file)) throw problem(`the field "command" doesn't run ${file}`);
+  if (!command.includes(file))
+    throw invalid(`field "command": expected a command that runs ${file}, found "${command}"`);
   return { test, command, seen, issue };
 }
 
 /**
  * Compares a run with the known failures. A failure that is not listed is a problem, and so is a listed test
- * that passed, was not run, or doesn't exist.
+ * that passed, was not run or doesn't exist.
  */
-export function judge(known: readonly KnownRed[], outcomes: readonly TestOutcome[]): Verdict {
+export function compareWithKnown(known: readonly KnownFailure[], outcomes: readonly TestOutcome[]): Verdict {
   const stateOf = new Map(outcomes.map((outcome) => [outcome.name, outcome.state]));
   const listed = new Set(known.map(({ test }) => test));
   const unknownFailures = outcomes
     .filter(({ name, state }) => state === 'failed' && !listed.has(name))
     .map(({ name }) => `failed: ${name}`);
-  const wrongLines = known.flatMap(({ test }) => wrongLine(test, stateOf.get(test)));
+  const wrongEntries = known.flatMap(({ test }) => wrongEntry(test, stateOf.get(test)));
   return {
     tolerated: known.filter(({ test }) => stateOf.get(test) === 'failed'),
-    problems: [...unknownFailures, ...wrongLines],
+    problems: [...unknownFailures, ...wrongEntries],
   };
 }
 
-function wrongLine(test: string, state: TestOutcome['state'] | undefined): string[] {
+function wrongEntry(test: string, state: TestOutcome['state'] | undefined): string[] {
   if (state === 'failed') return [];
-  if (state === undefined) return [`listed in KNOWN-RED.txt, and there is no such test: ${test}`];
-  return [`listed in KNOWN-RED.txt, and ${state}: ${test}`];
+  if (state === undefined) return [`listed in KNOWN-RED.txt, but does not exist: ${test}`];
+  return [`listed in KNOWN-RED.txt, but ${state}: ${test}`];
 }
