--- a/tools/profile/main.ts
+++ b/tools/profile/main.ts
@@ -1,7 +1,8 @@
 /**
- * `npm run profile -- --machines 360 --report-s 3 --seconds 30`: three real controllers among stand-ins on
- * loopback, filled with work; then the leader's processor time by part, and its memory. Figures of one
- * machine at one moment: compare two versions alternately in one run of the shell, several times.
+ * `npm run profile -- --machines 360 --report-s 3 --seconds 30`: runs three real controllers against
+ * simulated services on loopback and fills the machines with tasks. Then prints the processor time of the
+ * leader and of a follower by part of the service, and their memory. Results depend on the machine and its
+ * load: to compare two versions, run them alternately, several times each, in one session.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { mkdtempSync, readFileSync, rmSync, writeFileSync } from 'node:fs';
@@ -13,30 +14,33 @@
 import { timeByFunction, timeByPart, type PartTime, type SampledProfile } from './parts.js';
 import { NODES, StandIns, nodeAddress, settingsOf, type DeploymentSize } from './stand-ins.js';
 
-/** The flags that a deployment runs with. */
+/** Flags of Node.js with which the service is deployed. */
 function deployedFlags(): string[] {
   const run = /^run = "node (.*) target\/main\.js/m.exec(readFileSync('deploy/service.toml', 'utf8'));
   if (!run) throw new Error('deploy/service.toml: run: expected "node FLAGS target/main.js ..."');
   return run[1]!.split(' ');
 }
-const FLAGS = deployedFlags();
+const NODE_FLAGS = deployedFlags();
 const ARRAY_TASKS = 350;
 const CPUS_PER_MACHINE = 16;
-const QUESTION_EVERY_MS = 5000;
+const POLL_INTERVAL_MS = 5000;
 const FUNCTIONS_SHOWN = 45;
-/** Sampling begins when so much of all machines is held by tasks, and so long after. */
+/** The machines count as full once tasks use this share of their CPUs. */
 const FILLED_SHARE = 0.8;
+/** Delay from full machines to the sampling. */
 const SETTLE_MS = 5000;
-const PROGRESS_MS = 10_000;
-/** A process that used more of a core than this ran short of it. */
-const SHORT_PERCENT = 70;
+const PROGRESS_INTERVAL_MS = 10_000;
+/** A process that used more than this share of a core counts as short of processor time. */
+const SATURATED_PERCENT = 70;
 
+/** Resource usage of a process since its start, as the probe writes it. */
 interface Usage {
   processorMicroseconds: { user: number; system: number };
   memory: Record<string, number>;
   collections: Record<'young' | 'old', { count: number; ms: number }>;
   atMs: number;
 }
+/** What the probe writes for one sampling. */
 interface Sampling {
   started: Usage;
   ended: Usage;
@@ -66,10 +70,14 @@
   const config = join(directory, `node-${index}.json`);
   writeFileSync(config, JSON.stringify(settingsOf(index, size)));
   const probe = join('tools', 'profile', 'probe.mjs');
-  return spawn(process.execPath, [...FLAGS, '--import', `./${probe}`, options.program, '--config', config], {
-    stdio: ['ignore', 'ignore', 'inherit'],
-    env: { ...process.env, LOG_LEVEL: 'error', PROFILE_OUT: join(directory, `profile-${index}.json`) },
-  });
+  return spawn(
+    process.execPath,
+    [...NODE_FLAGS, '--import', `./${probe}`, options.program, '--config', config],
+    {
+      stdio: ['ignore', 'ignore', 'inherit'],
+      env: { ...process.env, LOG_LEVEL: 'error', PROFILE_OUT: join(directory, `profile-${index}.json`) },
+    },
+  );
 }
 
 const metricsOf = async (index: number): Promise<Record<string, unknown>> =>
@@ -78,7 +86,8 @@
     unknown
   >;
 
-async function leader(): Promise<number> {
+/** Waits until a node leads; returns its index. */
+async function untilLeader(): Promise<number> {
   for (;;) {
     for (const index of NODES) if ((await metricsOf(index)).leading === true) return index;
     await sleep(200);
@@ -108,52 +117,53 @@
   due_s: null,
 });
 
-/** Submits arrays so that the machines stay full, and asks about each every five seconds. */
-async function users(standIns: StandIns, running: () => boolean): Promise<void> {
+/** Submits arrays so that the machines stay full, and polls each of them until it is done. */
+async function simulateUsers(standIns: StandIns, isRunning: () => boolean): Promise<void> {
   let number = 0;
   let submittedTasks = 0;
-  const isDone = new Set<string>();
-  const ask = async (id: string): Promise<void> => {
-    while (running()) {
-      await sleep(QUESTION_EVERY_MS);
+  const doneJobs = new Set<string>();
+  const poll = async (id: string): Promise<void> => {
+    while (isRunning()) {
+      await sleep(POLL_INTERVAL_MS);
       const node = Math.floor(Math.random() * NODES.length);
       const answer = await call(nodeAddress(node), 'GET', `/v1/jobs/${id}`, undefined, 2000);
       if ((answer?.body as { standing?: string } | undefined)?.standing === 'done')
-        return void isDone.add(id);
+        return void doneJobs.add(id);
     }
   };
-  while (running()) {
-    const open = submittedTasks - isDone.size * ARRAY_TASKS;
-    if (open < size.machines * CPUS_PER_MACHINE * 1.2) {
+  while (isRunning()) {
+    const openTasks = submittedTasks - doneJobs.size * ARRAY_TASKS;
+    if (openTasks < size.machines * CPUS_PER_MACHINE * 1.2) {
       const next = job(++number);
       standIns.checker.submitted(next);
       const answer = await call(nodeAddress(number % NODES.length), 'POST', '/v1/jobs', next, 5000);
       if (answer?.status === 201) {
         submittedTasks += ARRAY_TASKS;
-        void ask(next.name_id);
+        void poll(next.name_id);
       }
     }
     await sleep(100);
   }
 }
 
-const table = (title: string, rows: readonly PartTime[], seconds: number): void => {
+const printTable = (title: string, rows: readonly PartTime[], seconds: number): void => {
   process.stdout.write(`\n${title}\n`);
   for (const { part, milliseconds } of rows)
     if (part !== 'idle')
       process.stdout.write(`  ${(milliseconds / seconds).toFixed(2).padStart(8)} ms/s  ${part}\n`);
 };
 
-function report(title: string, sampling: Sampling): void {
+/** Prints what one controller used during the sampling. */
+function printReport(title: string, sampling: Sampling): void {
   const { started, ended, profile } = sampling;
   const seconds = (ended.atMs - started.atMs) / 1000;
-  const used = (of: 'user' | 'system'): number =>
-    (ended.processorMicroseconds[of] - started.processorMicroseconds[of]) / 1000 / seconds;
+  const usedMsPerS = (kind: 'user' | 'system'): number =>
+    (ended.processorMicroseconds[kind] - started.processorMicroseconds[kind]) / 1000 / seconds;
   const megabytes = Object.entries(ended.memory).map(
     ([name, bytes]) => `${name} ${(bytes / 2 ** 20).toFixed(1)}`,
   );
   process.stdout.write(
-    `\n== ${title}: user ${used('user').toFixed(1)} ms/s, system ${used('system').toFixed(1)} ms/s\n`,
+    `\n== ${title}: user ${usedMsPerS('user').toFixed(1)} ms/s, system ${usedMsPerS('system').toFixed(1)} ms/s\n`,
   );
   process.stdout.write(`memory (MB): ${megabytes.join(', ')}\n`);
   for (const kind of ['young', 'old'] as const) {
@@ -161,8 +171,9 @@
     const ms = ended.collections[kind].ms - started.collections[kind].ms;
     process.stdout.write(`${kind} collections: ${count}, ${(ms / seconds).toFixed(2)} ms/s\n`);
   }
-  table('by part', timeByPart(profile), seconds);
-  if (options.functions) table('by function', timeByFunction(profile).slice(0, FUNCTIONS_SHOWN), seconds);
+  printTable('by part', timeByPart(profile), seconds);
+  if (options.functions)
+    printTable('by function', timeByFunction(profile).slice(0, FUNCTIONS_SHOWN), seconds);
 }
 
 /** Processor milliseconds that a controller has used since its start. */
@@ -173,40 +184,45 @@
   return figures ? figures.processorMs.user + figures.processorMs.system : 0;
 }
 
-/** Waits until the machines are full. Throws an Error that says what ran short when that takes too long. */
+/** Waits until the machines are full. Throws an Error that names the saturated process on a time-out. */
 async function fill(standIns: StandIns, leading: number): Promise<void> {
-  const wanted = size.machines * CPUS_PER_MACHINE * FILLED_SHARE;
-  const began = performance.now();
-  const standInsBegan = process.cpuUsage();
-  const leaderBegan = await processorMsOf(leading);
-  for (let shownAt = began; standIns.cpusHeld() < wanted; await sleep(500)) {
+  const wantedCpus = size.machines * CPUS_PER_MACHINE * FILLED_SHARE;
+  const startedAt = performance.now();
+  const standInsUsageAtStart = process.cpuUsage();
+  const leaderMsAtStart = await processorMsOf(leading);
+  for (let printedAt = startedAt; standIns.cpusHeld() < wantedCpus; await sleep(500)) {
     const now = performance.now();
-    const progress = `${standIns.workers.size} of ${size.machines} workers up, ${standIns.cpusHeld()} of ${wanted} CPUs held`;
-    if (now - shownAt > PROGRESS_MS) {
-      process.stderr.write(`${Math.round((now - began) / 1000)} s: ${progress}\n`);
-      shownAt = now;
+    const progress = `${standIns.workers.size} of ${size.machines} workers up, ${standIns.cpusHeld()} of ${wantedCpus} CPUs in use`;
+    if (now - printedAt > PROGRESS_INTERVAL_MS) {
+      process.stderr.write(`${Math.round((now - startedAt) / 1000)} s: ${progress}\n`);
+      printedAt = now;
     }
-    if (now - began < Number(options['fill-s']) * 1000) continue;
-    const standInsUsed = process.cpuUsage(standInsBegan);
-    const percent = (ms: number): number => Math.round((ms / (now - began)) * 100);
-    const standIn = percent((standInsUsed.user + standInsUsed.system) / 1000);
-    const ofLeader = percent((await processorMsOf(leading)) - leaderBegan);
-    const short =
-      standIn > SHORT_PERCENT ? 'the stand-ins' : ofLeader > SHORT_PERCENT ? 'the leader' : 'neither';
+    if (now - startedAt < Number(options['fill-s']) * 1000) continue;
+    const standInsUsed = process.cpuUsage(standInsUsageAtStart);
+    const percent = (ms: number): number => Math.round((ms / (now - startedAt)) * 100);
+    const standInsPercent = percent((standInsUsed.user + standInsUsed.system) / 1000);
+    const leaderPercent = percent((await processorMsOf(leading)) - leaderMsAtStart);
+    const saturated =
+      standInsPercent > SATURATED_PERCENT
+        ? 'the stand-ins'
+        : leaderPercent > SATURATED_PERCENT
+          ? 'the leader'
+          : 'neither';
     throw new Error(
-      `not full after ${options['fill-s']} s: ${progress}; of a core the stand-ins used ${standIn}%, ` +
-        `the leader ${ofLeader}%: ${short} ran short of processor time (--fill-s waits longer)`,
+      `not full after ${options['fill-s']} s: ${progress}; of a core the stand-ins used ${standInsPercent}%, ` +
+        `the leader ${leaderPercent}%: ${saturated} ran short of processor time (--fill-s sets the time limit)`,
     );
   }
 }
 
+/** Runs the deployment, samples its controllers and prints the results. */
 async function measure(directory: string): Promise<void> {
   const standIns = new StandIns(size);
   const nodes = NODES.map((index) => startNode(directory, index));
-  let running = true;
+  let isRunning = true;
   try {
-    const leading = await leader();
-    void users(standIns, () => running);
+    const leading = await untilLeader();
+    void simulateUsers(standIns, () => isRunning);
     await fill(standIns, leading);
     await sleep(SETTLE_MS);
     for (const node of nodes) node.kill('SIGUSR2');
@@ -214,18 +230,18 @@
     for (const node of nodes) node.kill('SIGUSR2');
     await sleep(2000);
     process.stdout.write(
-      `${standIns.workers.size} workers, ${standIns.cpusHeld()} CPUs held, leader ${leading}\n`,
+      `${standIns.workers.size} workers, ${standIns.cpusHeld()} CPUs in use, leader ${leading}\n`,
     );
     for (const index of [leading, (leading + 1) % NODES.length]) {
       const sampling = JSON.parse(readFileSync(join(directory, `profile-${index}.json`), 'utf8')) as Sampling;
-      report(index === leading ? 'leader' : 'follower', sampling);
+      printReport(index === leading ? 'leader' : 'follower', sampling);
     }
     const metrics = await metricsOf(leading);
     process.stdout.write(`\nleader's /metrics: ${JSON.stringify(metrics)}\n`);
-    for (const broken of standIns.checker.violations.slice(0, 10))
-      process.stdout.write(`broken rule: ${broken}\n`);
+    for (const violation of standIns.checker.violations.slice(0, 10))
+      process.stdout.write(`violated rule: ${violation}\n`);
   } finally {
-    running = false;
+    isRunning = false;
     for (const node of nodes) node.kill('SIGKILL');
     standIns.stop();
   }
--- a/tools/profile/parts.ts
+++ b/tools/profile/parts.ts
@@ -1,4 +1,4 @@
-/** Sums the samples of a V8 processor profile by part of the service. */
+/** Sums the samples of a V8 CPU profile by part of the service. */
 
 interface ProfileNode {
   id: number;
@@ -6,19 +6,20 @@
   children?: number[];
 }
 
-/** What `Profiler.stop` returns, as far as it is used here. */
+/** The part of the result of `Profiler.stop` that is used here. */
 export interface SampledProfile {
   nodes: ProfileNode[];
   samples: number[];
   timeDeltas: number[];
 }
 
+/** Sampled time of a part of the service, or of a function. */
 export interface PartTime {
   part: string;
   milliseconds: number;
 }
 
-/** A frame with one of these names belongs to the part; the outermost such frame of a stack decides. */
+/** Parts by name of a function. The outermost frame of a stack with such a name determines its part. */
 const PART_OF_FUNCTION: Record<string, string> = {
   round: 'rounds',
   compact: 'snapshots',
@@ -44,7 +45,8 @@
   dial: 'peer links',
 };
 
-const OUTSIDE: Record<string, string> = {
+/** Parts by name of a frame that V8 adds for what runs outside JavaScript. */
+const PART_OF_VM_FRAME: Record<string, string> = {
   '(garbage collector)': 'garbage collection',
   '(idle)': 'idle',
   '(program)': 'native code and system calls',
@@ -52,8 +54,8 @@
 
 function partOf(stack: readonly ProfileNode[]): string {
   const leaf = stack[stack.length - 1];
-  const outside = leaf && OUTSIDE[leaf.callFrame.functionName];
-  if (outside) return outside;
+  const vmPart = leaf && PART_OF_VM_FRAME[leaf.callFrame.functionName];
+  if (vmPart) return vmPart;
   for (const node of stack) {
     const part = PART_OF_FUNCTION[node.callFrame.functionName];
     if (part && node.callFrame.url.endsWith('app.js')) return part;
@@ -72,8 +74,8 @@
 function stacksOf(profile: SampledProfile): Map<number, ProfileNode[]> {
   const byId = new Map(profile.nodes.map((node) => [node.id, node]));
   const stacks = new Map<number, ProfileNode[]>();
-  const visit = (node: ProfileNode, above: ProfileNode[]): void => {
-    const stack = [...above, node];
+  const visit = (node: ProfileNode, callers: ProfileNode[]): void => {
+    const stack = [...callers, node];
     stacks.set(node.id, stack);
     for (const child of node.children ?? []) visit(byId.get(child)!, stack);
   };
@@ -92,21 +94,21 @@
 export function timeByPart(profile: SampledProfile): PartTime[] {
   const stacks = stacksOf(profile);
   const totals = new Map<string, number>();
-  profile.samples.forEach((id, i) => {
+  profile.samples.forEach((id, index) => {
     const part = partOf(stacks.get(id) ?? []);
-    totals.set(part, (totals.get(part) ?? 0) + (profile.timeDeltas[i] ?? 0));
+    totals.set(part, (totals.get(part) ?? 0) + (profile.timeDeltas[index] ?? 0));
   });
   return sorted(totals);
 }
 
-/** Sampled time by the function that was running itself, the largest first. */
+/** Sampled time by the innermost function of each stack, the largest first. */
 export function timeByFunction(profile: SampledProfile): PartTime[] {
   const byId = new Map(profile.nodes.map((node) => [node.id, node]));
   const totals = new Map<string, number>();
-  profile.samples.forEach((id, i) => {
+  profile.samples.forEach((id, index) => {
     const frame = byId.get(id)?.callFrame;
     const name = `${frame?.functionName || '(anonymous)'} ${frame?.url.split('/').pop() ?? ''}`;
-    totals.set(name, (totals.get(name) ?? 0) + (profile.timeDeltas[i] ?? 0));
+    totals.set(name, (totals.get(name) ?? 0) + (profile.timeDeltas[index] ?? 0));
   });
   return sorted(totals);
 }
--- a/tools/profile/probe.mjs
+++ b/tools/profile/probe.mjs
@@ -1,24 +1,25 @@
-// Preloaded into a controller by `npm run profile`: samples its stacks between two signals.
-//   SIGUSR2 starts a sampling, and ends it the next time: the profile is written to PROFILE_OUT.
+// Preloaded into each controller by `npm run profile`: samples its stacks. The first SIGUSR2 starts a
+// sampling; the next one ends it and writes the profile to PROFILE_OUT.
 import { writeFileSync } from 'node:fs';
 import { Session } from 'node:inspector';
 import { PerformanceObserver, constants, performance } from 'node:perf_hooks';
 
-const SAMPLE_MICROSECONDS = 200;
+const SAMPLING_INTERVAL_US = 200;
 const session = new Session();
-let sampling = false;
+let isSampling = false;
 let started;
 const collections = { young: { count: 0, ms: 0 }, old: { count: 0, ms: 0 } };
 
 new PerformanceObserver((list) => {
   for (const entry of list.getEntries()) {
-    const young = entry.detail.kind === constants.NODE_PERFORMANCE_GC_MINOR;
-    const kept = young ? collections.young : collections.old;
-    kept.count++;
-    kept.ms += entry.duration;
+    const isYoung = entry.detail.kind === constants.NODE_PERFORMANCE_GC_MINOR;
+    const total = isYoung ? collections.young : collections.old;
+    total.count++;
+    total.ms += entry.duration;
   }
 }).observe({ entryTypes: ['gc'] });
 
+/** Resource usage of the process since its start. */
 const usage = () => ({
   processorMicroseconds: process.cpuUsage(),
   memory: process.memoryUsage(),
@@ -28,10 +29,10 @@
 
 session.connect();
 session.post('Profiler.enable');
-session.post('Profiler.setSamplingInterval', { interval: SAMPLE_MICROSECONDS });
+session.post('Profiler.setSamplingInterval', { interval: SAMPLING_INTERVAL_US });
 process.on('SIGUSR2', () => {
-  if (!sampling) {
-    sampling = true;
+  if (!isSampling) {
+    isSampling = true;
     started = usage();
     return session.post('Profiler.start');
   }
@@ -39,6 +40,6 @@
   session.post('Profiler.stop', (error, result) => {
     if (error) throw error;
     writeFileSync(process.env.PROFILE_OUT, JSON.stringify({ started, ended, profile: result.profile }));
-    sampling = false;
+    isSampling = false;
   });
 });
--- a/tools/profile/stand-ins.ts
+++ b/tools/profile/stand-ins.ts
@@ -1,6 +1,6 @@
 /**
- * The fakes of the tests behind real sockets on loopback: state service, cloud and workers of a whole
- * deployment in real time, for programs that are measured as they are.
+ * State service, cloud and workers of a whole deployment: the fakes of the tests in real time, behind sockets
+ * on loopback, so that unmodified controllers can be measured against them.
  */
 import http from 'node:http';
 import { createHttpCall, type HttpResponse } from '../../src/io/http-client.js';
@@ -15,10 +15,12 @@
 const STATE_ADDRESS = '127.0.0.2:2379';
 const CLOUD_ADDRESS = '127.0.0.3:8443';
 const WORKER_PORT = 9000;
+/** Interval at which the simulated time is advanced to the real time. */
 const STEP_MS = 5;
-/** The controllers, by number. */
+/** Indexes of the controllers. */
 export const NODES: readonly number[] = [0, 1, 2];
 
+/** Size of the deployment that is measured. */
 export interface DeploymentSize {
   machines: number;
   reportSeconds: number;
@@ -37,18 +39,23 @@
   zones: ['a'],
 };
 
+/** Address on which a controller serves users and workers. */
 export const nodeAddress = (index: number): string => `127.0.1.${index + 1}:8080`;
 
 /** The settings file of one node. */
 export function settingsOf(index: number, size: DeploymentSize): object {
-  const others = NODES.filter((i) => i !== index);
+  const others = NODES.filter((other) => other !== index);
   const cpus = size.machines * machineType.cpus;
   return {
     node: `node-${index}`,
     area: 'a',
     serve_on: nodeAddress(index),
     back: `127.0.1.${index + 1}:8081`,
-    seeds: others.map((i) => ({ node: `node-${i}`, area: 'a', peer_addr: `127.0.1.${i + 1}:8081` })),
+    seeds: others.map((other) => ({
+      node: `node-${other}`,
+      area: 'a',
+      peer_addr: `127.0.1.${other + 1}:8081`,
+    })),
     external: { cloud: CLOUD_ADDRESS, state: STATE_ADDRESS },
     cluster: {
       zones: ['a'],
@@ -64,27 +71,28 @@
   };
 }
 
-type Handle = (
+/** Answers a request to the local address `host`; null closes the connection without an answer. */
+type Handler = (
   method: string,
   path: string,
   body: unknown,
   host: string,
 ) => HttpResponse | null | Promise<HttpResponse | null>;
 
-function listen(address: string, handle: Handle): http.Server {
+function listen(address: string, handle: Handler): http.Server {
   const [host, port] = address.split(':');
   const server = http.createServer({ keepAliveTimeout: 120_000, noDelay: true }, (request, response) => {
-    const parts: Buffer[] = [];
-    request.on('data', (part: Buffer) => parts.push(part));
+    const chunks: Buffer[] = [];
+    request.on('data', (chunk: Buffer) => chunks.push(chunk));
     request.on('end', () => {
-      const text = Buffer.concat(parts).toString();
+      const text = Buffer.concat(chunks).toString();
       const body: unknown = text ? JSON.parse(text) : undefined;
       void Promise.resolve(handle(request.method!, request.url!, body, request.socket.localAddress!)).then(
         (answer) => {
           if (!answer) return request.socket.destroy();
-          const out = JSON.stringify(answer.body);
-          response.writeHead(answer.status, { 'Content-Length': Buffer.byteLength(out) });
-          response.end(out);
+          const json = JSON.stringify(answer.body);
+          response.writeHead(answer.status, { 'Content-Length': Buffer.byteLength(json) });
+          response.end(json);
         },
       );
     });
@@ -93,7 +101,7 @@
   return server;
 }
 
-/** A deployment's surroundings; `step` moves its time on with the real one. */
+/** The services and workers around the controllers. `run` advances their time with the real time. */
 export class StandIns {
   readonly time = new VirtualTime();
   readonly checker: Checker;
@@ -101,8 +109,8 @@
   private readonly state: FakeStateService;
   private readonly cloud: FakeCloud;
   private readonly servers: http.Server[] = [];
-  private readonly byHost = new Map<string, FakeWorker>();
-  private readonly began = performance.now();
+  private readonly workersByHost = new Map<string, FakeWorker>();
+  private readonly startedAt = performance.now();
   private stopped = false;
 
   private readonly workerSettings: Settings['cluster']['workers'];
@@ -133,7 +141,7 @@
       listen(CLOUD_ADDRESS, (method, path, body) => this.cloud.handle(method, path, body)),
       listen(
         `0.0.0.0:${WORKER_PORT}`,
-        (_method, path, body, host) => this.byHost.get(host)?.handle(path, body) ?? null,
+        (_method, path, body, host) => this.workersByHost.get(host)?.handle(path, body) ?? null,
       ),
     );
     void this.run();
@@ -146,30 +154,30 @@
       time: this.time,
       random: Math.random,
       checker: this.checker,
-      nodes: NODES.map((i) => ({ name: `node-${i}`, address: nodeAddress(i) })),
+      nodes: NODES.map((index) => ({ name: `node-${index}`, address: nodeAddress(index) })),
       type: () => machineType,
       runMs: (job) => job.reckon_s * 1000 * (0.5 + Math.random()),
       failing: new Set(),
       workers: this.workers,
       settings: this.workerSettings,
     });
-    this.byHost.set(host, worker);
+    this.workersByHost.set(host, worker);
     this.workers.set(place.id, worker);
     return worker;
   }
 
   private async run(): Promise<void> {
     while (!this.stopped) {
-      await this.time.run(performance.now() - this.began - this.time.now);
+      await this.time.run(performance.now() - this.startedAt - this.time.now);
       await new Promise((done) => setTimeout(done, STEP_MS));
     }
   }
 
-  /** CPUs that running and fetching tasks hold. */
+  /** CPUs in use by tasks, whether they run or still fetch their image. */
   cpusHeld(): number {
-    let held = 0;
-    for (const worker of this.workers.values()) held += machineType.cpus - worker.freeResources.cpus;
-    return held;
+    let cpus = 0;
+    for (const worker of this.workers.values()) cpus += machineType.cpus - worker.freeResources.cpus;
+    return cpus;
   }
 
   stop(): void {
