--- a/build.mjs
+++ b/build.mjs
@@ -1,22 +1,22 @@
-// One bundled file and V8's compiled form of it: a controller starts on a small share of a core,
-// and reading and compiling hundreds of modules would cost it more than running them.
-//   node build.mjs         bundles into target/app.js and writes the loader target/main.js
-//   node FLAGS build.mjs cache   adds target/app.cache; FLAGS as in deploy/service.toml's run
+// Bundles the program into one file and adds V8's compiled code for it. A controller starts on a small share
+// of a core, where reading and compiling hundreds of modules would take longer than running them.
+//   node build.mjs               bundles into target/app.js and writes its loader, target/main.js
+//   node FLAGS build.mjs cache   writes target/app.cache; FLAGS must be those of `run` in deploy/service.toml
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
 import vm from 'node:vm';
 
-/** The program's `warm` command is over by then. */
-const WARM_MS = 6000;
+/** Time within which the program's `warm` command finishes. */
+const WARM_UP_MS = 6000;
 
-const app = new URL('target/app.js', import.meta.url).pathname;
+const appFile = new URL('target/app.js', import.meta.url).pathname;
 const { version } = JSON.parse(readFileSync('package.json', 'utf8'));
 
 async function bundle() {
   const { build } = await import('esbuild');
   await build({
     entryPoints: ['src/cli/main.ts'],
-    outfile: app,
+    outfile: appFile,
     bundle: true,
     platform: 'node',
     target: 'node20',
@@ -45,15 +45,15 @@
   );
 }
 
-async function cache() {
-  const script = new vm.Script(readFileSync(app, 'utf8'), { filename: app });
-  process.argv = [process.argv[0], app, 'warm'];
+async function writeCache() {
+  const script = new vm.Script(readFileSync(appFile, 'utf8'), { filename: appFile });
+  process.argv = [process.argv[0], appFile, 'warm'];
   const module = { exports: {} };
-  script.runInThisContext()(module.exports, createRequire(app), module, app, 'target');
-  // What the command has called by now is compiled, and goes into the cache.
-  await new Promise((done) => setTimeout(done, WARM_MS));
+  script.runInThisContext()(module.exports, createRequire(appFile), module, appFile, 'target');
+  // The functions that the command has called are compiled by now and are included in the cache.
+  await new Promise((done) => setTimeout(done, WARM_UP_MS));
   writeFileSync('target/app.cache', script.createCachedData());
   process.exit(0);
 }
 
-await (process.argv[2] === 'cache' ? cache() : bundle());
+await (process.argv[2] === 'cache' ? writeCache() : bundle());
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -1,12 +1,12 @@
 import js from '@eslint/js';
 import ts from 'typescript-eslint';
 
-const MOST_FILE_LINES = 300;
-const MOST_FUNCTION_LINES = 40;
-const MOST_PARAMETERS = 7;
+const MAX_FILE_LINES = 300;
+const MAX_FUNCTION_LINES = 40;
+const MAX_PARAMETERS = 7;
 
-/** Source files that keep to the limit of a function's length; the others follow file by file. */
-const SHORT_FUNCTIONS = [
+/** Files in which the length of functions is limited. The others are to be added as they are refactored. */
+const FILES_WITH_SHORT_FUNCTIONS = [
   'src/actors/{acknowledgements,admission,direct-calls,first-reports,follower,hand-over,introductions,key-values,leader,leader-sight,lease,lock,log,node-pace,pending-facts,pulse}.ts',
   'src/actors/{reach-claims,report-intake,round,snapshot,snapshotter,state-service-doubt,task-progress,token-bucket,uncertain-answers}.ts',
   'src/actors/{user-requests,worker-reach,worker-view,workers,write-copies}.ts',
@@ -29,14 +29,14 @@
   {
     files: ['src/**/*.ts', 'tools/**/*.ts'],
     rules: {
-      'max-lines': ['error', MOST_FILE_LINES],
-      '@typescript-eslint/max-params': ['error', { max: MOST_PARAMETERS }],
+      'max-lines': ['error', MAX_FILE_LINES],
+      '@typescript-eslint/max-params': ['error', { max: MAX_PARAMETERS }],
     },
   },
   {
-    files: SHORT_FUNCTIONS,
+    files: FILES_WITH_SHORT_FUNCTIONS,
     rules: {
-      'max-lines-per-function': ['error', { max: MOST_FUNCTION_LINES }],
+      'max-lines-per-function': ['error', { max: MAX_FUNCTION_LINES }],
       '@typescript-eslint/no-shadow': 'error',
     },
   },
