--- a/src/core/fit.ts
+++ b/src/core/fit.ts
@@ -35,15 +35,15 @@
   types: Iterable<MachineType>,
 ): Refusal | null {
   const team = teams.find((one) => one.name === spec.team);
-  if (!team) return { status: 422, reason: `desk: found '${spec.team}', expected a team of the settings` };
+  if (!team) return { status: 422, reason: `team: found '${spec.team}', expected a team of the settings` };
   const known = [...types];
   if (known.length === 0) return { status: 503, reason: 'machine types not known yet' };
   if (!known.some((type) => fitsType(spec, type)))
     return {
       status: 422,
       reason:
-        `cpus, accelerators, mem_gb: found ${spec.cpus}, ${spec.gpus}, ${spec.mem}, ` +
-        'expected a request that fits a machine type allowed by breeds and yard',
+        `cpus, gpus, mem: found ${spec.cpus}, ${spec.gpus} and ${spec.mem} GB per task, ` +
+        "expected at most what a machine type in the job's types and zone has",
     };
   const tasksAtOnce = spec.gang ? spec.tasks : 1;
   if (
@@ -53,8 +53,8 @@
     return {
       status: 422,
       reason:
-        `shifts, cpus, accelerators: found ${tasksAtOnce} at once with ${spec.cpus} and ${spec.gpus} each, ` +
-        `expected at most the team's limit of ${team.cpusMax} and ${team.gpusMax} in all`,
+        `tasks, cpus, gpus: found ${tasksAtOnce} at once with ${spec.cpus} cpus and ${spec.gpus} gpus each, ` +
+        `expected at most the team's limits of ${team.cpusMax} cpus and ${team.gpusMax} gpus in all`,
     };
   return null;
 }
