--- a/src/actors/cloud.ts
+++ b/src/actors/cloud.ts
@@ -99,7 +99,7 @@
       void this.cloud.rentMachines(rental).then((result) => {
         if (this.stopped) return;
         // Without an answer, the same request is repeated under the same name.
-        if (result.outcome === 'trouble') {
+        if (result.outcome === 'unknown') {
           this.rentalsInFlight.delete(rental.name);
           return this.pauseRequests();
         }
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -70,13 +70,13 @@
       ...{ nodeId: settings.node as NodeId, peerCount: settings.seeds.length },
     });
     this.follower = new Follower(store, clock, logger, {
-      free: () => this.tryToLead(),
-      leader: (value) => {
+      onLockFree: () => this.tryToLead(),
+      onLeader: (value) => {
         this.leader = value;
         if (value) this.highestLeaderTerm = Math.max(this.highestLeaderTerm, value.term);
         logger.info({ leader: value?.node ?? null, term: value?.term, run: value?.run }, 'leader key read');
       },
-      term: (term) => {
+      onTerm: (term) => {
         this.observesTermsSince = -Infinity as SteadyMs;
         this.noteTerm(term);
       },
@@ -184,7 +184,7 @@
       },
       onDeposed: (why) => this.lock.markLost(why),
       onHigherTerm: (term) => this.noteTerm(term),
-      mayAnswerUncertain: () => this.uncertainAnswers.isAllowed(),
+      mayAnswerWhileUncertain: () => this.uncertainAnswers.isAllowed(),
     });
     this.dependencies.measure('take_over', clock.steady() - startedAt);
     const { term, version: revision } = held;
--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -49,10 +49,10 @@
     private readonly log: Logger,
     private readonly handlers: {
       /** The lock is free; resolves when the attempt to take it is over. */
-      free: () => Promise<void>;
-      leader: (leader: LeaderValue | null) => void;
+      onLockFree: () => Promise<void>;
+      onLeader: (leader: LeaderValue | null) => void;
       /** The term in the term key, which outlasts the leader key. */
-      term: (term: Term) => void;
+      onTerm: (term: Term) => void;
     },
   ) {
     this.keyReader = new KeyReader(log);
@@ -70,7 +70,7 @@
   /** Waits for the next changes and applies them; while the lock is free, tries to take it first. */
   private async watchOnce(): Promise<void> {
     if (this.leader === null) {
-      await this.handlers.free();
+      await this.handlers.onLockFree();
       if (this.paused) return;
     }
     const startedAt = this.clock.steady();
@@ -116,12 +116,12 @@
 
   private setLeader(leader: LeaderValue | null): void {
     this.leader = leader;
-    this.handlers.leader(leader);
+    this.handlers.onLeader(leader);
   }
 
   private setTerm(value: unknown): void {
     const term = this.keyReader.readTerm(value);
-    if (term !== null) this.handlers.term(term);
+    if (term !== null) this.handlers.onTerm(term);
   }
 
   private setHead(stored: { value: unknown; version: Version } | null): void {
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -54,7 +54,7 @@
   /** Called when a worker reports a higher term. */
   onHigherTerm: (term: Term) => void;
   /** Whether reports may be answered while the lock is not certain to be held. */
-  mayAnswerUncertain: () => boolean;
+  mayAnswerWhileUncertain: () => boolean;
 }
 
 /** Interval of ticks, and the longest delay of a round that an event triggers. */
@@ -132,7 +132,7 @@
       nextRentalName: () => `h-${this.term}-${++this.rentalCount}`,
       isOverdue: (attempt) => this.isOverdue(attempt),
     });
-    this.log.committed.subscribe(({ no, record }) => this.onCommitted(no, record));
+    this.log.committed.subscribe(({ recordNumber, record }) => this.onCommitted(recordNumber, record));
     const liveAttempts = [...state.machines.values()].flatMap((machine) => [...machine.live]);
     this.acknowledgements.noteWritten((state.nextRecord - 1) as RecordNumber, liveAttempts);
     this.tick();
@@ -154,7 +154,7 @@
       ...{ state: this.state, log: this.log, call, clock, logger, term: this.term, isCertain },
       reportPeriodS: workers.report_s,
       maxOpenCalls: Math.max(MIN_OPEN_CALLS, Math.floor(limits.sockets * CALL_SHARE_OF_SOCKETS)),
-      mayAnswerUncertain: options.mayAnswerUncertain,
+      mayAnswerWhileUncertain: options.mayAnswerWhileUncertain,
       onFactWritten: () => this.scheduleRound(),
       onHigherTerm: options.onHigherTerm,
     });
--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -91,7 +91,7 @@
   private readonly bucket: TokenBucket;
   private cancelWait: Cancel | null = null;
   /** Records that were written and applied, in order. */
-  readonly committed = new Subject<{ no: RecordNumber; record: LogRecord }>();
+  readonly committed = new Subject<{ recordNumber: RecordNumber; record: LogRecord }>();
   /** Count of the writes that succeeded, and their total duration. */
   readonly writes = { count: 0, ms: 0 };
 
@@ -269,10 +269,13 @@
     for (const [index, { record }] of batches.entries())
       this.state.apply((first + index) as RecordNumber, record);
     for (const [index, { requests, record }] of batches.entries()) {
-      const no = (first + index) as RecordNumber;
+      const recordNumber = (first + index) as RecordNumber;
       for (const request of requests) request.onSettled?.(true);
-      this.committed.next({ no, record });
-      this.options.logger.debug({ no, entries: record.entries.map((entry) => entry.e) }, 'record written');
+      this.committed.next({ recordNumber, record });
+      this.options.logger.debug(
+        { no: recordNumber, entries: record.entries.map((entry) => entry.e) },
+        'record written',
+      );
     }
   }
 
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -52,7 +52,7 @@
   /** Whether the lock is certain to be held. */
   isCertain: () => boolean;
   /** Whether reports may be answered while the lock is not certain. */
-  mayAnswerUncertain: () => boolean;
+  mayAnswerWhileUncertain: () => boolean;
   /** Called when facts from a report have been written to the log. */
   onFactWritten: () => void;
   /** Called when a worker has seen a higher term than this leader's. */
@@ -162,7 +162,7 @@
     }
     const view = this.intake.take(report, true);
     if (!view) return null;
-    if (!isCertain && !this.options.mayAnswerUncertain()) return null;
+    if (!isCertain && !this.options.mayAnswerWhileUncertain()) return null;
     const machine = this.state.machines.get(report.machine);
     // Upholds ran_cancelled: every answer that renews a lease carries the stops of cancelled jobs.
     if (!isCertain || view.report !== report)
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -13,13 +13,13 @@
 export type RentalResult =
   | { outcome: 'hired'; machines: MachineId[] }
   /** The cloud has no capacity for this type and zone. */
-  | { outcome: 'none' }
+  | { outcome: 'no_capacity' }
   /** The cloud rejected the request as invalid. */
-  | { outcome: 'bad' }
+  | { outcome: 'invalid' }
   /** No usable answer: the rental may have taken place, and can be repeated under the same name. */
-  | { outcome: 'trouble' };
+  | { outcome: 'unknown' };
 
-/** Each method returns null, false or 'trouble' if the cloud gave no usable answer in time. */
+/** Each method returns null, false or the outcome 'unknown' if the cloud gave no usable answer in time. */
 export class CloudClient {
   constructor(
     private readonly call: HttpCall,
@@ -48,15 +48,15 @@
       try {
         return { outcome: 'hired', machines: readRentedMachines(response.body) };
       } catch {
-        return { outcome: 'trouble' };
+        return { outcome: 'unknown' };
       }
     }
     if (
       response?.status === 503 &&
       (response.body as { error?: string } | undefined)?.error === 'no capacity'
     )
-      return { outcome: 'none' };
-    return response?.status === 400 ? { outcome: 'bad' } : { outcome: 'trouble' };
+      return { outcome: 'no_capacity' };
+    return response?.status === 400 ? { outcome: 'invalid' } : { outcome: 'unknown' };
   }
 
   async returnMachines(machines: readonly MachineId[]): Promise<boolean> {
--- a/test/fakes/leading.ts
+++ b/test/fakes/leading.ts
@@ -17,7 +17,7 @@
   call: HttpCall;
   append?: (append: AppendRequest) => void;
   term?: number;
-  mostCalls?: number;
+  maxOpenCalls?: number;
 }
 
 /** The workers actor of a leader with a certain lock. */
@@ -28,9 +28,9 @@
     clock: new NodeClock(fixture.time, 1, 0),
     term: (fixture.term ?? 1) as Term,
     reportPeriodS: REPORT_PERIOD_S,
-    maxOpenCalls: fixture.mostCalls ?? 150,
+    maxOpenCalls: fixture.maxOpenCalls ?? 150,
     isCertain: () => true,
-    mayAnswerUncertain: () => true,
+    mayAnswerWhileUncertain: () => true,
     onFactWritten: () => {},
     onHigherTerm: () => {},
   });
--- a/test/workers.test.ts
+++ b/test/workers.test.ts
@@ -19,7 +19,13 @@
   call: HttpCall,
   onAppend: (entries: LogEntry[]) => void = () => {},
 ): WorkersActor =>
-  createWorkersActor({ state, time, call, append: ({ entries }) => onAppend(entries), mostCalls: MAX_CALLS });
+  createWorkersActor({
+    state,
+    time,
+    call,
+    append: ({ entries }) => onAppend(entries),
+    maxOpenCalls: MAX_CALLS,
+  });
 
 /** A large site: machines that are up, direct calls that are never answered, and a leader's workers actor. */
 function largeSite() {
--- a/tools/profile/parts.ts
+++ b/tools/profile/parts.ts
@@ -38,6 +38,7 @@
   callWorker: 'direct commands',
   direct: 'direct commands',
   handleReport: 'worker reports',
+  handleReportRequest: 'worker reports',
   readReport: 'worker reports',
   show: 'status queries',
   listMachines: 'cloud',
