--- a/src/actors/first-reports.ts
+++ b/src/actors/first-reports.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from '../core/state.js';
 import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import type { StallMonitor } from './node-pace.js';
+import type { StallMonitor } from './stall-monitor.js';
 import { REPORT_JITTER_FACTOR } from './report-intake.js';
 import type { WorkerView } from './worker-view.js';
 
--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -5,9 +5,9 @@
 import type { Logger } from '../io/logger.js';
 import { LEADER_KEY, RECORD_PREFIX, ROOT_PREFIX, SNAPSHOT_HEAD_KEY, TERM_KEY } from '../wire/keys.js';
 import { recordKey, recordNumberOf, type LeaderValue, type SnapshotHead } from '../wire/keys.js';
-import { ANSWER_TIMEOUT_MS, LIST_TIMEOUT_MS, type Change, type KeyValue } from '../wire/store.js';
-import type { Revision, StateServiceClient, Version } from '../wire/store.js';
-import { KeyReader } from './key-values.js';
+import { ANSWER_TIMEOUT_MS, LIST_TIMEOUT_MS, type Change, type KeyValue } from '../wire/state-service.js';
+import type { Revision, StateServiceClient, Version } from '../wire/state-service.js';
+import { KeyReader } from './key-reader.js';
 import { SingleFlight } from './single-flight.js';
 import { NO_SNAPSHOT, stateFromChunks, type VersionedSnapshotHead } from './snapshot.js';
 
--- a/src/actors/hand-over.ts
+++ b/src/actors/hand-over.ts
@@ -3,12 +3,12 @@
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { ReceivedStatus } from '../io/peers.js';
-import type { StateServiceClient } from '../wire/store.js';
+import type { StateServiceClient } from '../wire/state-service.js';
 import type { LeaderActor } from './leader.js';
 import type { HeldLock, Lock } from './lock.js';
 import { ReachClaims } from './reach-claims.js';
-import { GAVE_WAY_EXCLUSION_MS, StateServiceMonitor, type HolderProgress } from './state-service-doubt.js';
-import { WorkerReachability } from './worker-reach.js';
+import { GAVE_WAY_EXCLUSION_MS, StateServiceMonitor, type HolderProgress } from './state-service-monitor.js';
+import { WorkerReachability } from './worker-reachability.js';
 
 /**
  * After a hand-over a node does not acquire the lock for this many lease durations: the lease may have to
--- a/src/actors/write-copies.ts
+++ b/src/actors/hedged-transaction.ts
@@ -1,6 +1,6 @@
 /** Hedged requests: a transaction is sent again until an answer to any of its copies tells its result. */
 import type { Clock } from '../io/clock.js';
-import type { TransactionResult } from '../wire/store.js';
+import type { TransactionResult } from '../wire/state-service.js';
 
 /** Time without an answer after which another copy is sent. */
 const HEDGE_DELAY_MS = 1200;
--- a/src/actors/leader-sight.ts
+++ b/src/actors/leader-tracker.ts
@@ -2,7 +2,7 @@
 import type { MachineId, SteadyMs } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { PeerStatus } from '../io/peers.js';
-import { STATUS_MAX_AGE_MS } from './state-service-doubt.js';
+import { STATUS_MAX_AGE_MS } from './state-service-monitor.js';
 
 /** A worker counts as heard for this long: a report period and a margin. */
 export const WORKER_HEARD_MAX_AGE_MS = 4000;
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -2,9 +2,9 @@
  * The work of a node during one term as the leader: it writes the log, serves workers and submissions, and
  * runs the scheduling rounds.
  */
-import type { Random } from '../core/fill.js';
+import type { Random } from '../core/allocation.js';
 import type { Policy } from '../core/policy.js';
-import { isCancelled } from '../core/recovery.js';
+import { isCancelled } from '../core/worker-commands.js';
 import type { Job, TaskAttempt } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
 import type { LogEntry, LogRecord, MachineId, RecordNumber, Term, WallMs } from '../core/types.js';
@@ -14,15 +14,15 @@
 import type { Measure } from '../io/metrics.js';
 import type { CloudClient } from '../wire/cloud.js';
 import { teamsOf, type Settings } from '../wire/settings.js';
-import type { StateServiceClient } from '../wire/store.js';
+import type { StateServiceClient } from '../wire/state-service.js';
 import { Acknowledgements } from './acknowledgements.js';
 import { Actor } from './actor.js';
 import { AdmissionActor } from './admission.js';
 import { CloudActor } from './cloud.js';
 import type { HeldLock, Lock } from './lock.js';
 import { LogActor } from './log.js';
-import { LeaderStatusLog } from './pulse.js';
-import { RoundPlanner, type RoundPlan } from './round.js';
+import { LeaderStatusLog } from './leader-status-log.js';
+import { RoundPlanner, type RoundPlan } from './round-planner.js';
 import type { Compress, VersionedSnapshotHead } from './snapshot.js';
 import { Snapshotter } from './snapshotter.js';
 import { WorkersActor } from './workers.js';
--- a/src/actors/lease.ts
+++ b/src/actors/lease.ts
@@ -3,7 +3,7 @@
 import type { Cancel, Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import type { Measure } from '../io/metrics.js';
-import type { LeaseId, RenewalResult, StateServiceClient } from '../wire/store.js';
+import type { LeaseId, RenewalResult, StateServiceClient } from '../wire/state-service.js';
 
 /** Largest relative drift between two steady clocks, with a safety factor of two. */
 export const MAX_CLOCK_DRIFT = 0.001;
--- a/src/actors/lock.ts
+++ b/src/actors/lock.ts
@@ -10,7 +10,7 @@
   type Version,
   type StateServiceClient,
   type TransactionResult,
-} from '../wire/store.js';
+} from '../wire/state-service.js';
 import { RenewedLease, type RenewalStatistics } from './lease.js';
 
 const MIN_LOCK_LEASE_MS = 2500;
--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -5,10 +5,10 @@
 import { sleep, type Cancel, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import { LEADER_KEY, recordKey } from '../wire/keys.js';
-import type { StateServiceClient, TransactionResult } from '../wire/store.js';
+import type { StateServiceClient, TransactionResult } from '../wire/state-service.js';
 import { Actor } from './actor.js';
 import { TokenBucket } from './token-bucket.js';
-import { COPY_TIMEOUT_MS, HedgedTransaction } from './write-copies.js';
+import { COPY_TIMEOUT_MS, HedgedTransaction } from './hedged-transaction.js';
 
 /** Asks for entries to be appended to the log. */
 export interface AppendRequest {
--- a/src/actors/pending-facts.ts
+++ b/src/actors/pending-facts.ts
@@ -2,7 +2,7 @@
  * Facts from reports that are being written to the log. Each is submitted only once until its write has
  * completed or failed.
  */
-import { attemptKey, unrecordedFacts, type TaskEnd } from '../core/recovery.js';
+import { attemptKey, unrecordedFacts, type TaskEnd } from '../core/worker-commands.js';
 import type { TaskAttempt } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
 import type { LogEntry, WorkerReport } from '../core/types.js';
--- a/src/actors/reach-claims.ts
+++ b/src/actors/reach-claims.ts
@@ -5,7 +5,7 @@
 import type { NodeId, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import { REACH_PREFIX, reachKey, readReachClaim, type ReachClaim } from '../wire/keys.js';
-import type { StateServiceClient } from '../wire/store.js';
+import type { StateServiceClient } from '../wire/state-service.js';
 
 /** Shortest interval between two claims of a node. */
 const CLAIM_INTERVAL_MS = 1000;
--- a/src/actors/report-intake.ts
+++ b/src/actors/report-intake.ts
@@ -6,7 +6,7 @@
 import type { ClusterState } from '../core/state.js';
 import type { MachineId, Term, WorkerReport } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
-import type { StallMonitor } from './node-pace.js';
+import type { StallMonitor } from './stall-monitor.js';
 import type { PendingFacts } from './pending-facts.js';
 import type { TaskProgress } from './task-progress.js';
 import { isOutdated, repeatsReport, newSessionView, type WorkerView } from './worker-view.js';
--- a/src/actors/round.ts
+++ b/src/actors/round-planner.ts
@@ -5,7 +5,7 @@
 import { planRentals, planReturns, type CapacityInput } from '../core/capacity.js';
 import { stopsForNotices, stopsForBrokenGangs } from '../core/orderly-stops.js';
 import { orderClaims } from '../core/claims.js';
-import type { Random } from '../core/fill.js';
+import type { Random } from '../core/allocation.js';
 import { place, type PlacementResult } from '../core/placement.js';
 import type { Policy } from '../core/policy.js';
 import { preempt, type PreemptionResult } from '../core/preemption.js';
--- a/src/actors/snapshot.ts
+++ b/src/actors/snapshot.ts
@@ -4,7 +4,7 @@
 import { loadState } from '../core/state-dump.js';
 import type { ClusterState } from '../core/state.js';
 import { chunkKey, type SnapshotHead } from '../wire/keys.js';
-import type { Version } from '../wire/store.js';
+import type { Version } from '../wire/state-service.js';
 
 /** The head of the current snapshot, and the version of its key. */
 export interface VersionedSnapshotHead extends SnapshotHead {
--- a/src/actors/snapshotter.ts
+++ b/src/actors/snapshotter.ts
@@ -8,7 +8,7 @@
 import { sleep, type Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
 import { SNAPSHOT_HEAD_KEY, LEADER_KEY, chunkKey, recordKey, type SnapshotHead } from '../wire/keys.js';
-import type { WriteOperation, Version, StateServiceClient } from '../wire/store.js';
+import type { WriteOperation, Version, StateServiceClient } from '../wire/state-service.js';
 import type { LogActor } from './log.js';
 import { toJsonLines, toCompressedChunks, type Compress, type VersionedSnapshotHead } from './snapshot.js';
 
--- a/src/actors/worker-view.ts
+++ b/src/actors/worker-view.ts
@@ -1,5 +1,5 @@
 /** What a leader knows of one worker in one of its sessions. */
-import type { ObservedWorker } from '../core/recovery.js';
+import type { ObservedWorker } from '../core/worker-commands.js';
 import type { Fence, SteadyMs, WorkerReport } from '../core/types.js';
 import { UnsettledCalls } from '../core/unsettled-calls.js';
 
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -3,7 +3,8 @@
  * the worker's own last report. They are sent in the answer to its next report and, to save time, in a direct
  * call before that.
  */
-import { attemptKey, commandsForWorker, hasCancelledTasks, stopsForCancelledJobs } from '../core/recovery.js';
+import { attemptKey, commandsForWorker } from '../core/worker-commands.js';
+import { hasCancelledTasks, stopsForCancelledJobs } from '../core/worker-commands.js';
 import { isAvailable, type Job, type TaskAttempt, type Machine } from '../core/model.js';
 import type { ClusterState } from '../core/state.js';
 import type { Command, Fence, JobId, MachineId, Term, WorkerReport } from '../core/types.js';
@@ -15,9 +16,9 @@
 import { Actor } from './actor.js';
 import { DirectCalls } from './direct-calls.js';
 import { FirstReports } from './first-reports.js';
-import { TermAnnouncements } from './introductions.js';
+import { TermAnnouncements } from './term-announcements.js';
 import type { LogActor } from './log.js';
-import { StallMonitor } from './node-pace.js';
+import { StallMonitor } from './stall-monitor.js';
 import { PendingFacts } from './pending-facts.js';
 import { ReportIntake } from './report-intake.js';
 import { TaskProgress } from './task-progress.js';
--- a/src/cli/jobs.ts
+++ b/src/cli/jobs.ts
@@ -15,7 +15,7 @@
   type SnapshotHead,
 } from '../wire/keys.js';
 import type { Settings } from '../wire/settings.js';
-import { StateServiceClient } from '../wire/store.js';
+import { StateServiceClient } from '../wire/state-service.js';
 
 /** Exit codes for scripts; `later`: the same request may succeed at another time or node. */
 export const EXIT_CODES = { ok: 0, refused: 1, usage: 2, unknown: 3, later: 4 } as const;
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -21,7 +21,7 @@
 import { registerJobCommands, printLog } from './jobs.js';
 import { readPolicy } from './policy.js';
 import { stubHttpCall, exerciseController } from './warm.js';
-import { StateServiceClient } from '../wire/store.js';
+import { StateServiceClient } from '../wire/state-service.js';
 
 function loadSettings(file: string): Settings {
   return readSettings(JSON.parse(readFileSync(file, 'utf8')));
--- a/src/core/fill.ts
+++ b/src/core/allocation.ts
@@ -1,6 +1,6 @@
 /** Allocates machines to the tasks of one job: the best of a few sampled machines, then the best of all. */
 import { addTo, fits } from './resources.js';
-import { hasImage, placementCost, slotCount, type Candidate } from './rooms.js';
+import { hasImage, placementCost, slotCount, type Candidate } from './candidates.js';
 import type { Job } from './model.js';
 
 /** Source of random numbers. */
--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -5,7 +5,7 @@
 import type { PlacementResult } from './placement.js';
 import type { Policy } from './policy.js';
 import { addTo, fits, type Resources } from './resources.js';
-import { isRestartCritical, meetsConstraints, slotCount } from './rooms.js';
+import { isRestartCritical, meetsConstraints, slotCount } from './candidates.js';
 import type { ClusterState } from './state.js';
 import { priorityRank, type LogEntry, type MachineId, type MachineType, type WallMs } from './types.js';
 
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -1,13 +1,13 @@
 /** Places tasks: best fit among sampled machines, then among all; a gang as a whole or not at all. */
 import { chunked } from './chunked.js';
 import { tasksWithinLimit, type Claim } from './claims.js';
-import { allocate, type Allocation, type Random } from './fill.js';
+import { allocate, type Allocation, type Random } from './allocation.js';
 import { fitsType, soleFitTypes } from './fit.js';
 import { avoidsMachine, type Job, type Machine, type TaskAttempt } from './model.js';
 import { reserve } from './reserve.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
-import { constraintKey, delaysGangFetch, hasImage, InfeasibleRequests, isMultiTaskGang } from './rooms.js';
-import { isRestartCritical, meetsConstraints, slotCount, type Candidate } from './rooms.js';
+import { constraintKey, delaysGangFetch, hasImage, isMultiTaskGang, slotCount } from './candidates.js';
+import { InfeasibleRequests, isRestartCritical, meetsConstraints, type Candidate } from './candidates.js';
 import type { ClusterState } from './state.js';
 import { RESOURCE_EPSILON, type LogEntry, type MachineId, type Team, type WallMs } from './types.js';
 import { countWaitingTasks, waitingTasks } from './waiting-tasks.js';
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -2,7 +2,7 @@
 import { chunked } from './chunked.js';
 import type { Claim } from './claims.js';
 import type { PlacementResult } from './placement.js';
-import { constraintKey, InfeasibleRequests, meetsConstraints } from './rooms.js';
+import { constraintKey, InfeasibleRequests, meetsConstraints } from './candidates.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
 import { fitsType } from './fit.js';
 import { avoidsMachine, type Job, type Machine, type TaskAttempt } from './model.js';
--- a/src/core/reserve.ts
+++ b/src/core/reserve.ts
@@ -1,8 +1,8 @@
 /** Reserves resources that are being released, or that a gang gathers, for the job that waits for them. */
-import type { Allocation } from './fill.js';
+import type { Allocation } from './allocation.js';
 import type { Job, Machine } from './model.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
-import { slotCount, type Candidate } from './rooms.js';
+import { slotCount, type Candidate } from './candidates.js';
 
 /**
  * Reserves resources that tasks being stopped will release; for a gang only if they suffice for all of its
--- a/src/core/zones.ts
+++ b/src/core/zones.ts
@@ -1,6 +1,6 @@
 /** Zones that a job's tasks occupy, and zones that they may be placed in. */
 import type { Job } from './model.js';
-import { placementCost, slotCount, type Candidate } from './rooms.js';
+import { placementCost, slotCount, type Candidate } from './candidates.js';
 
 /** When zones are compared for a one-zone job, one more free place outweighs any placement cost. */
 const PLACE_WEIGHT = 2000;
--- a/test/fakes/one-worker.ts
+++ b/test/fakes/one-worker.ts
@@ -8,7 +8,7 @@
 import { readJob, writeRedirect, writeReportAnswer } from '../../src/wire/schemas.js';
 import { Checker, type JobOnWire, type MachineInfo } from './checker.js';
 import { VirtualTime } from './clock.js';
-import { createWorkersActor, REPORT_PERIOD_S } from './leading.js';
+import { createWorkersActor, REPORT_PERIOD_S } from './workers-actor.js';
 import { FakeWorker } from './worker.js';
 import { box, write } from './world.js';
 
--- a/test/fakes/world.ts
+++ b/test/fakes/world.ts
@@ -11,7 +11,7 @@
 import { ReportReader } from '../../src/wire/reports.js';
 import { readJob, writeRedirect, writeReportAnswer } from '../../src/wire/schemas.js';
 import { readSettings, teamsOf, type Settings } from '../../src/wire/settings.js';
-import { StateServiceClient } from '../../src/wire/store.js';
+import { StateServiceClient } from '../../src/wire/state-service.js';
 import { Checker, type JobOnWire } from './checker.js';
 import { FakeCloud } from './cloud.js';
 import { NodeClock, VirtualTime } from './clock.js';
--- a/test/giving-way.test.ts
+++ b/test/giving-way.test.ts
@@ -2,13 +2,13 @@
  * When the holder of the lock releases it, given its own progress, and the statuses and claims of its peers.
  */
 import { describe, expect, it } from 'vitest';
-import { KeyReader } from '../src/actors/key-values.js';
+import { KeyReader } from '../src/actors/key-reader.js';
 import {
   GAVE_WAY_EXCLUSION_MS,
   StateServiceMonitor,
   type HolderProgress,
-} from '../src/actors/state-service-doubt.js';
-import { WorkerReachability } from '../src/actors/worker-reach.js';
+} from '../src/actors/state-service-monitor.js';
+import { WorkerReachability } from '../src/actors/worker-reachability.js';
 import type { Term } from '../src/core/types.js';
 import { isValidStatus, type ReceivedStatus, type PeerStatus } from '../src/io/peers.js';
 import { readReachClaim, type ReachClaim } from '../src/wire/keys.js';
--- a/test/lease.test.ts
+++ b/test/lease.test.ts
@@ -1,8 +1,8 @@
 import { describe, expect, it } from 'vitest';
 import { RenewedLease } from '../src/actors/lease.js';
-import { HedgedTransaction } from '../src/actors/write-copies.js';
+import { HedgedTransaction } from '../src/actors/hedged-transaction.js';
 import type { SteadyMs } from '../src/core/types.js';
-import type { RenewalResult, StateServiceClient, TransactionResult } from '../src/wire/store.js';
+import type { RenewalResult, StateServiceClient, TransactionResult } from '../src/wire/state-service.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { silent } from './fakes/world.js';
 
--- a/test/log.test.ts
+++ b/test/log.test.ts
@@ -7,7 +7,7 @@
 import { ClusterState } from '../src/core/state.js';
 import type { LogEntry, MachineId, WallMs } from '../src/core/types.js';
 import { chunkKey } from '../src/wire/keys.js';
-import { StateServiceClient } from '../src/wire/store.js';
+import { StateServiceClient } from '../src/wire/state-service.js';
 import { NodeClock, VirtualTime } from './fakes/clock.js';
 import { FakeStateService } from './fakes/state-service.js';
 import { box, silent, write } from './fakes/world.js';
--- a/test/recovery.test.ts
+++ b/test/worker-commands.test.ts
@@ -4,7 +4,7 @@
   commandsForWorker,
   stopsForCancelledJobs,
   type ObservedWorker,
-} from '../src/core/recovery.js';
+} from '../src/core/worker-commands.js';
 import { ClusterState } from '../src/core/state.js';
 import type { LogEntry, Fence, MachineId, TaskReport, WorkerReport } from '../src/core/types.js';
 import { UnsettledCalls, type CallNumber } from '../src/core/unsettled-calls.js';
--- a/test/workers.test.ts
+++ b/test/workers.test.ts
@@ -5,7 +5,7 @@
 import type { HttpResponse, HttpCall } from '../src/io/http-client.js';
 import { readReport } from '../src/wire/reports.js';
 import { VirtualTime } from './fakes/clock.js';
-import { createWorkersActor } from './fakes/leading.js';
+import { createWorkersActor } from './fakes/workers-actor.js';
 import { box, write } from './fakes/world.js';
 
 const MACHINES = 1260;
