--- a/src/actors/cloud.ts
+++ b/src/actors/cloud.ts
@@ -11,11 +11,27 @@
 import { TokenBucket } from './token-bucket.js';
 import type { LogActor } from './log.js';
 
+/** Share of the cloud's request rate that one leader uses. */
+const REQUEST_RATE_SHARE = 0.85;
+/** Pause of all requests after one without a usable answer. */
+const RETRY_DELAY_MS = 1500;
+const TYPES_READ_INTERVAL_MS = 60_000;
+const LIST_INTERVAL_MS = 4000;
+/** Backoff after the cloud had too few machines: the base times the factor, then growing by it. */
+const BASE_BACKOFF_MS = 4000;
+const BACKOFF_FACTOR = 1.5;
+const MAX_BACKOFF_MS = 30_000;
+/** Maximum number of machines in one request to return them. */
+const MAX_RETURNS_PER_REQUEST = 100;
+/** A machine that belongs to no rental is returned once it was listed for this long, or has failed. */
+const STRAY_GRACE_MS = 20_000;
+
 type CloudMessage =
   | { kind: 'tick' }
-  /** Return these machines without a record: a cancelled task runs there and cannot be stopped otherwise. */
+  /** Returns these machines without a record: a cancelled task runs there and cannot be stopped otherwise. */
   | { kind: 'returnWithoutRecord'; machines: Machine[] };
 
+/** Key of a combination of machine type, zone and kind (spot or on demand). */
 const placeKey = (type: string, zone: string, spot: boolean): string => `${type}|${zone}|${spot}`;
 
 /** Rents, returns and lists machines within the cloud's rate limit. */
@@ -28,7 +44,9 @@
   private isListing = false;
   private typesReadAt = -Infinity;
   private isReadingTypes = false;
+  /** No request is started before this time, after one without a usable answer. */
   private retryAt = -Infinity;
+  /** Listed machines that belong to no rental, and when each was first listed. */
   private readonly strayMachines = new Map<MachineId, SteadyMs>();
 
   constructor(
@@ -41,7 +59,7 @@
     private readonly logger: Logger,
   ) {
     super();
-    this.rateLimit = new TokenBucket(clock, limits.rps * 0.85, limits.rps);
+    this.rateLimit = new TokenBucket(clock, limits.rps * REQUEST_RATE_SHARE, limits.rps);
   }
 
   /** Whether the cloud recently had fewer machines of a type, zone and kind than requested. */
@@ -64,16 +82,17 @@
     this.returnMachines([...this.state.machines.values()].filter((machine) => machine.drop));
     this.requestRentals();
     if (
-      (this.state.machineTypes.size === 0 || now - this.typesReadAt > 60_000) &&
+      (this.state.machineTypes.size === 0 || now - this.typesReadAt > TYPES_READ_INTERVAL_MS) &&
       !this.isReadingTypes &&
       this.takeToken()
     )
       void this.readTypes();
-    if (now - this.listedAt > 4000 && !this.isListing && this.takeToken()) void this.listMachines();
+    if (now - this.listedAt > LIST_INTERVAL_MS && !this.isListing && this.takeToken())
+      void this.listMachines();
   }
 
   private pauseRequests(): void {
-    this.retryAt = this.clock.steady() + 1500;
+    this.retryAt = this.clock.steady() + RETRY_DELAY_MS;
   }
 
   private async readTypes(): Promise<void> {
@@ -106,7 +125,10 @@
         const machines = result.outcome === 'hired' ? result.machines : [];
         const key = placeKey(rental.type, rental.zone, rental.spot);
         if (machines.length < rental.n) {
-          const backoffMs = Math.min(30_000, (this.backoffs.get(key)?.backoffMs ?? 4000) * 1.5);
+          const backoffMs = Math.min(
+            MAX_BACKOFF_MS,
+            (this.backoffs.get(key)?.backoffMs ?? BASE_BACKOFF_MS) * BACKOFF_FACTOR,
+          );
           this.backoffs.set(key, { until: (this.clock.steady() + backoffMs) as SteadyMs, backoffMs });
         } else this.backoffs.delete(key);
         this.logger.info({ hire: rental.name, place: key, asked: rental.n, got: machines.length }, 'rented');
@@ -121,7 +143,7 @@
   private returnMachines(machines: Machine[]): void {
     const due = machines
       .flatMap((machine) => (this.returnsInFlight.has(machine.id) ? [] : [machine.id]))
-      .slice(0, 100);
+      .slice(0, MAX_RETURNS_PER_REQUEST);
     if (due.length === 0 || !this.takeToken()) return;
     for (const id of due) this.returnsInFlight.add(id);
     void this.cloud.returnMachines(due).then((ok) => {
@@ -168,19 +190,24 @@
         if (listed.state === 'failed' && !machine.drop) failed.push(listed.id);
         continue;
       }
-      // The list lags behind: it still contains machines that were returned recently.
+      // The list lags behind: it may still contain machines that were returned recently.
       if (this.state.removedMachines.has(listed.id)) continue;
+      // Until the result of each rental is in the log, an unknown machine may belong to one of them.
       if (this.state.pendingRentals.size > 0) continue;
       const firstSeenAt = this.strayMachines.get(listed.id) ?? now;
       this.strayMachines.set(listed.id, firstSeenAt);
-      if (listed.state === 'failed' || now - firstSeenAt > 20_000) strays.push(listed.id);
+      if (listed.state === 'failed' || now - firstSeenAt > STRAY_GRACE_MS) strays.push(listed.id);
     }
     if (failed.length > 0)
       this.log.tell({ entries: [{ e: 'drop', m: failed.slice(0, 100), why: 'failed' }] });
     if (strays.length > 0) {
       this.logger.info({ strays }, 'returning machines that belong to no rental');
-      if (this.takeToken() && (await this.cloud.returnMachines(strays.slice(0, 100))) && !this.stopped) {
-        this.log.tell({ entries: [{ e: 'gone', m: strays.slice(0, 100) }] });
+      if (
+        this.takeToken() &&
+        (await this.cloud.returnMachines(strays.slice(0, MAX_RETURNS_PER_REQUEST))) &&
+        !this.stopped
+      ) {
+        this.log.tell({ entries: [{ e: 'gone', m: strays.slice(0, MAX_RETURNS_PER_REQUEST) }] });
         for (const id of strays) this.strayMachines.delete(id);
       }
     }
