--- a/src/actors/acknowledgements.ts
+++ b/src/actors/acknowledgements.ts
@@ -1,4 +1,4 @@
-/** Up to which record reports show all commands as carried out (Ravana's "event processed"). */
+/** Tracks up to which log record all commands are confirmed by reports (Ravana's "event processed"). */
 import type { TaskAttempt } from '../core/model.js';
 import type { RecordNumber } from '../core/types.js';
 
@@ -9,7 +9,7 @@
 
   constructor(private readonly wasReported: (attempt: TaskAttempt) => boolean) {}
 
-  /** Notes a written record, and the task attempts that its commands concern. */
+  /** Registers a written record with the task attempts that its commands concern. */
   noteWritten(record: RecordNumber, attempts: TaskAttempt[]): void {
     if (attempts.length > 0) this.unconfirmed.set(record, attempts);
   }
--- a/src/actors/actor.ts
+++ b/src/actors/actor.ts
@@ -1,6 +1,9 @@
 import { Subject, type Subscription } from 'rxjs';
 
-/** Owns its state. Others communicate with it only by messages, handled one at a time and in order. */
+/**
+ * Base class of components that alone change their state. Others send them messages, which are handled
+ * synchronously and in the order in which they are sent.
+ */
 export abstract class Actor<Message> {
   private readonly inbox = new Subject<Message>();
   private readonly subscription: Subscription;
@@ -10,6 +13,7 @@
     this.subscription = this.inbox.subscribe((message) => this.receive(message));
   }
 
+  /** Delivers a message; ignored after `stop`. */
   tell(message: Message): void {
     if (!this.stopped) this.inbox.next(message);
   }
--- a/src/actors/admission.ts
+++ b/src/actors/admission.ts
@@ -57,6 +57,7 @@
 
 export const jobNotFound: Reply = { status: 404, body: { error: 'no such job' } };
 
+/** What the admission actor uses from the rest of the leader. */
 export interface AdmissionOptions {
   state: ClusterState;
   log: LogActor;
@@ -84,6 +85,8 @@
  * Requests that need a record are refused while more than this many urgent entries are waiting to be written.
  */
 const MAX_PENDING_URGENT = 400;
+/** Part of a value's size limit that is kept for the record and the entry around a job description. */
+const JOB_ENTRY_FRAME_BYTES = 400;
 
 /** Handles users' requests on the leader. Replies are derived from recorded state only. */
 export class AdmissionActor extends Actor<UserRequest> {
@@ -112,17 +115,17 @@
   private show(id: JobId, reply: (r: Reply) => void): void {
     const outcome = outcomeReply(this.state, id);
     if (outcome) return reply(outcome);
-    // Upholds forgotten, and that no reply is older than an earlier one: only a leader that certainly holds
-    // its lock may report what can still change.
+    // Upholds forgotten, and that no reply shows an older state than an earlier reply: only a leader that
+    // certainly holds its lock may report what can still change.
     if (!this.options.isCertain()) return reply(retryLater('not certain to lead'));
     if (this.log.hasWriteInFlightFor(id)) return this.afterPendingWrites(reply, () => this.show(id, reply));
     reply(this.statusReply(id) ?? jobNotFound);
   }
 
   /**
-   * Runs `then` when the writes in progress have completed. Upholds forgotten, and that no reply is older
-   * than an earlier one: other nodes may have read a record, and told users of it, before its writer gets the
-   * answer.
+   * Runs `then` when the writes in progress have completed. Upholds forgotten, and that no reply shows an
+   * older state than an earlier reply: other nodes may have read a record, and told users of it, before its
+   * writer gets the answer.
    */
   private afterPendingWrites(reply: (r: Reply) => void, then: () => void): void {
     void this.log
@@ -146,7 +149,7 @@
           : { status: 422, body: { error: refusal.reason } },
       );
     // An entry that does not fit into any record would block the log for ever.
-    if (Buffer.byteLength(JSON.stringify(spec)) > this.options.maxValueKb * 1024 - 400)
+    if (Buffer.byteLength(JSON.stringify(spec)) > this.options.maxValueKb * 1024 - JOB_ENTRY_FRAME_BYTES)
       return reply({
         status: 400,
         body: { error: 'the job description is too long for one value of the state service' },
@@ -185,11 +188,11 @@
       return reply(retryLater('the state service does not answer'));
     if (this.log.pendingUrgent > MAX_PENDING_URGENT) return reply(retryLater('too much at once', 2, 429));
     let isAnswered = false;
-    const answer = (r: Reply): void => {
+    const answer = (result: Reply): void => {
       if (isAnswered) return;
       isAnswered = true;
       cancelTimeout();
-      reply(r);
+      reply(result);
     };
     const cancelTimeout = this.options.clock.after(WRITE_TIMEOUT_MS, () =>
       answer(retryLater('not written in time')),
--- a/src/actors/controller.ts
+++ b/src/actors/controller.ts
@@ -17,9 +17,9 @@
 
 const WATCHDOG_PERIOD_MS = 700;
 const HAND_OVER_CHECK_PERIOD_MS = 250;
-/** How long a node that hears no leader stays ready: each removal makes the balancer exclude it longer. */
+/** How long a node that hears no leader stays ready: the balancer excludes it longer after each removal. */
 const LEADERLESS_READY_MS = 8000;
-/** Added to the lock duration: longer than the lock of a leader that has died lasts. */
+/** Added to the lock's lease duration: after both, the lock of a leader that has died has expired. */
 const ISOLATION_MARGIN_MS = 700;
 
 /** The answer to a worker's report: commands, or the leader that the worker should report to. */
@@ -38,13 +38,13 @@
   private peers: Peers | null = null;
   private isTakingOver = false;
   private readonly handOver: HandOver;
-  private readonly lockDurationMs: number;
+  private readonly leaseDurationMs: number;
   private readonly tracker: LeaderTracker;
   /** How long the node still reports ready after it has lost contact. */
   private readonly graceMs: number;
   /** When this node last had a connection to the leader or knew of no other leader. */
   private connectedAt = -Infinity;
-  /** Start of the period whose terms this node has observed; -Infinity once it has read the state service. */
+  /** Start of the period whose terms this node knows; -Infinity once it has read the term key. */
   private observesTermsSince: SteadyMs;
   private readonly uncertainAnswers: UncertainAnswerPolicy;
   /** Handles users' requests that arrive here or are forwarded by peers. */
@@ -58,15 +58,15 @@
     this.observesTermsSince = clock.steady();
     this.tracker = new LeaderTracker(clock);
     const { machine_limits, workers } = settings.cluster;
-    this.lockDurationMs = lockLeaseDurationMs(machine_limits.cpu_share, workers.lease_s);
-    this.graceMs = this.lockDurationMs + ISOLATION_MARGIN_MS;
+    this.leaseDurationMs = lockLeaseDurationMs(machine_limits.cpu_share, workers.lease_s);
+    this.graceMs = this.leaseDurationMs + ISOLATION_MARGIN_MS;
     this.lock = new Lock({
-      ...{ store, clock, logger, measure, leaseDurationMs: this.lockDurationMs },
+      ...{ store, clock, logger, measure, leaseDurationMs: this.leaseDurationMs },
       identity: { node: settings.node, term: 0, run: runId },
       onLost: (why) => this.stepDown(why),
     });
     this.handOver = new HandOver({
-      ...{ clock, logger, store, lock: this.lock, leaseDurationMs: this.lockDurationMs },
+      ...{ clock, logger, store, lock: this.lock, leaseDurationMs: this.leaseDurationMs },
       ...{ nodeId: settings.node as NodeId, peerCount: settings.seeds.length },
     });
     this.follower = new Follower(store, clock, logger, {
@@ -117,20 +117,20 @@
   }
 
   private checkLeader(): void {
-    void this.follower.checkLeader().then((free) => (free ? this.tryToLead() : undefined));
+    void this.follower.checkLeader().then((isFree) => (isFree ? this.tryToLead() : undefined));
   }
 
-  /** Publishes for a leader that is named by the state service but not heard how many workers ask here. */
+  /** Tells a leader named by the state service, but not connected, how many workers contact this node. */
   private claimReach(): void {
     const { clock } = this.dependencies;
-    const isNamed = clock.steady() - this.follower.answeredInTimeAt < STATUS_MAX_AGE_MS;
-    const isUnheard = clock.steady() - this.connectedAt > STATUS_MAX_AGE_MS;
+    const reachesStateService = clock.steady() - this.follower.answeredInTimeAt < STATUS_MAX_AGE_MS;
+    const isDisconnected = clock.steady() - this.connectedAt > STATUS_MAX_AGE_MS;
     const workers = this.tracker.countRequestingWorkers();
-    if (this.leader && this.remoteLeader() && isNamed && isUnheard && workers > 0)
+    if (this.leader && this.remoteLeader() && reachesStateService && isDisconnected && workers > 0)
       this.handOver.publishReachClaim(this.leader.term as Term, workers);
   }
 
-  /** Revokes the lease of a lock that an earlier run of this node still holds: that run has ended. */
+  /** Revokes the lease of a lock that an earlier run of this node holds: that run has ended. */
   private async revokeFormerLease(): Promise<void> {
     const { store, settings } = this.dependencies;
     const stored = await store.get(LEADER_KEY);
@@ -168,7 +168,7 @@
     this.follower.pause();
     for (;;) {
       if (!this.lock.held || this.lock.held.term !== held.term) return;
-      if (await this.follower.catchUp(this.lockDurationMs)) break;
+      if (await this.follower.catchUp(this.leaseDurationMs)) break;
       await sleep(clock, 100);
     }
     if (this.lock.held?.term !== held.term) return;
@@ -257,18 +257,18 @@
     if (askedAt !== undefined) this.uncertainAnswers.noteStatus(status, askedAt);
     const wasInDoubt = this.tracker.isHolderInDoubt();
     this.tracker.noteStatus(status);
-    // The leader in doubt waits to hear whether the state service answers this node.
+    // A leader that doubts the state service waits to hear whether the service answers this node.
     if (this.tracker.isHolderInDoubt() && !wasInDoubt && !this.lock.held) this.checkLeader();
   }
 
-  /** Whether this node can take requests. Slow to say no: after each removal it is excluded for longer. */
+  /** Whether this node can take requests. Has a grace period: each removal from the balancer lasts longer. */
   isReady(): boolean {
     if (!this.follower.loaded) return false;
     const now = this.dependencies.clock.steady();
-    // Without state service and peers a leader cannot serve users; with peers the outage concerns all nodes.
+    // Cut off from state service and peers, a leader can't serve users; with peers, all nodes are affected.
     if (this.leaderActor)
       return this.lock.uncertainForMs() < this.graceMs || this.recentStatuses(this.graceMs).length > 0;
-    // The state service names a leader after its lease would have expired, and it cannot be connected to.
+    // The state service still named the leader after a lease duration: it is alive, but out of reach here.
     if (now - this.connectedAt > this.graceMs && this.follower.lastAnswerAt - this.connectedAt > this.graceMs)
       return false;
     return this.tracker.isLeaderHeard(LEADERLESS_READY_MS);
--- a/src/actors/direct-calls.ts
+++ b/src/actors/direct-calls.ts
@@ -1,6 +1,6 @@
 /**
  * Direct calls to workers. The number of open calls is limited; each call has its own number, is logged at
- * `debug` level and is counted. Machines for which no call could be opened are notified as open calls end.
+ * `debug` level and is counted. Machines for which no call could be opened wait until open calls end.
  */
 import type { Command, Fence, MachineId, Session, Term } from '../core/types.js';
 import type { CallNumber } from '../core/unsettled-calls.js';
--- a/src/actors/follower.ts
+++ b/src/actors/follower.ts
@@ -26,7 +26,7 @@
 /** Follows the log by a watch, so that this node has the state when it takes over. */
 export class Follower {
   state = new ClusterState();
-  /** The state is complete up to a known revision, and can be read on from there. */
+  /** Whether the state is complete up to a known revision, so that reading can continue from there. */
   loaded = false;
   /** The holder of the lock; null while the lock is free. */
   leader: LeaderValue | null = null;
@@ -46,7 +46,7 @@
   constructor(
     private readonly store: StateServiceClient,
     private readonly clock: Clock,
-    private readonly log: Logger,
+    private readonly logger: Logger,
     private readonly handlers: {
       /** The lock is free; resolves when the attempt to take it is over. */
       onLockFree: () => Promise<void>;
@@ -55,7 +55,7 @@
       onTerm: (term: Term) => void;
     },
   ) {
-    this.keyReader = new KeyReader(log);
+    this.keyReader = new KeyReader(logger);
     this.reads = new SingleFlight(clock, READ_INTERVAL_MS, () => this.readIfFollowing());
   }
 
@@ -84,7 +84,7 @@
     if (!update) return sleep(this.clock, READ_RETRY_MS);
     this.lastAnswerAt = this.clock.steady();
     this.revision = update.revision;
-    this.log.debug({ revision: update.revision, changes: update.changes.length }, 'state service read');
+    this.logger.debug({ revision: update.revision, changes: update.changes.length }, 'state service read');
     for (const change of update.changes) this.applyChange(change);
     // Bounds the load on the state service, except when the lock is freed: an election follows at once.
     const isLockFreed = update.changes.some(({ key, removed }) => key === LEADER_KEY && removed);
@@ -105,7 +105,8 @@
   async checkLeader(): Promise<boolean> {
     if (!this.loaded || this.paused) return false;
     const stored = await this.store.get(LEADER_KEY);
-    // One missed answer voids the evidence: no leader gives way to a peer that is answered in time by luck.
+    // One missed answer resets the time, so that no leader hands over to a peer that is only sometimes
+    // answered in time.
     if (stored === undefined) this.answeredInTimeAt = -Infinity;
     if (stored === undefined || this.paused) return false;
     this.lastAnswerAt = this.answeredInTimeAt = this.clock.steady();
@@ -128,14 +129,17 @@
     this.head = stored ? { ...(stored.value as SnapshotHead), version: stored.version } : NO_SNAPSHOT;
   }
 
-  private applyRecord(no: RecordNumber, record: LogRecord): void {
-    if (no < this.state.nextRecord) return;
-    if (no > this.state.nextRecord) {
-      this.log.info({ no, next: this.state.nextRecord }, 'gap in the log; loading the state again');
+  private applyRecord(recordNumber: RecordNumber, record: LogRecord): void {
+    if (recordNumber < this.state.nextRecord) return;
+    if (recordNumber > this.state.nextRecord) {
+      this.logger.info(
+        { no: recordNumber, next: this.state.nextRecord },
+        'gap in the log; loading the state again',
+      );
       this.loaded = false;
       return;
     }
-    this.state.apply(no, record);
+    this.state.apply(recordNumber, record);
   }
 
   private async readState(): Promise<boolean> {
@@ -168,7 +172,7 @@
     this.setHead(head);
     this.setTerm(term?.value);
     this.setLeader(leader ? this.keyReader.readLeader(leader.value) : null);
-    this.log.info({ next: this.state.nextRecord }, 'records written since this node led were read');
+    this.logger.info({ next: this.state.nextRecord }, 'records written since this node led were read');
     return this.loaded;
   }
 
@@ -187,10 +191,10 @@
     }
     for (const item of all.items) {
       if (!item.key.startsWith(RECORD_PREFIX)) continue;
-      const no = recordNumberOf(item.key);
-      if (no < state.nextRecord) continue;
-      if (no > state.nextRecord) return false;
-      state.apply(no, item.value as LogRecord);
+      const recordNumber = recordNumberOf(item.key);
+      if (recordNumber < state.nextRecord) continue;
+      if (recordNumber > state.nextRecord) return false;
+      state.apply(recordNumber, item.value as LogRecord);
     }
     this.state = state;
     this.setHead(all.items.find((item) => item.key === SNAPSHOT_HEAD_KEY) ?? null);
@@ -199,7 +203,7 @@
     this.lastAnswerAt = this.clock.steady();
     this.setTerm(keys.get(TERM_KEY));
     this.setLeader(keys.has(LEADER_KEY) ? this.keyReader.readLeader(keys.get(LEADER_KEY)) : null);
-    this.log.info(
+    this.logger.info(
       { next: state.nextRecord, ms: Math.round(this.clock.steady() - startedAt) },
       'state loaded',
     );
@@ -207,7 +211,7 @@
   }
 
   /**
-   * Reads the log up to its present end, so that this node can answer queries about changing state while it
+   * Reads the log up to its present end, so that this node can answer queries about unfinished jobs while it
    * reaches no leader. Queries share reads, and reads keep a minimum interval. False when the read failed.
    */
   readLatest(): Promise<boolean> {
--- a/src/actors/hand-over.ts
+++ b/src/actors/hand-over.ts
@@ -1,4 +1,4 @@
-/** When the holder of the lock releases it before its lease expires, and the pause that follows. */
+/** Decides when the holder of the lock releases it early, and how long it then leaves it to other nodes. */
 import type { NodeId, SteadyMs, Term } from '../core/types.js';
 import type { Clock } from '../io/clock.js';
 import type { Logger } from '../io/logger.js';
--- a/src/actors/key-reader.ts
+++ b/src/actors/key-reader.ts
@@ -1,4 +1,7 @@
-/** Reads the leader and term keys. A malformed value proves and extends nothing, and is logged once. */
+/**
+ * Reads the values of the leader and term keys. A malformed leader counts as an unknown holder, and a
+ * malformed term is ignored; the first of each is logged.
+ */
 import type { Term } from '../core/types.js';
 import type { Logger } from '../io/logger.js';
 import { readLeaderValue, readTermValue, type LeaderValue } from '../wire/keys.js';
@@ -6,7 +9,7 @@
 /** Stands for a malformed value: the lock is not free, and its holder is not known. */
 const UNREADABLE_LEADER: LeaderValue = { node: '', term: 0, run: '' };
 
-/** Reads values of these keys, and logs the first malformed one of each. */
+/** Reads the values and remembers which malformed ones were logged. */
 export class KeyReader {
   private readonly logged = new Set<string>();
 
--- a/src/actors/leader-status-log.ts
+++ b/src/actors/leader-status-log.ts
@@ -7,7 +7,7 @@
 import type { WorkersActor } from './workers.js';
 
 const STATUS_INTERVAL_MS = 10_000;
-/** Largest number of unplaced jobs that a line names. */
+/** Maximum number of unplaced jobs that a line names. */
 const MAX_NAMED_JOBS = 8;
 
 export interface LeaderStatusLogOptions {
@@ -40,7 +40,7 @@
         for (const [, , , cause] of entry.p) this.ends[cause] = (this.ends[cause] ?? 0) + 1;
   }
 
-  /** Logs a line if the interval has passed; `unplaced` are the jobs that found no room. */
+  /** Logs a line if the interval has passed; `unplaced` are the jobs with tasks that were not placed. */
   logIfDue(usable: number, unplaced: PlacementResult['unplaced']): void {
     const { clock, logger, state, term, workers, writes } = this.options;
     if (clock.steady() - this.lastLoggedAt <= STATUS_INTERVAL_MS) return;
--- a/src/actors/leader-tracker.ts
+++ b/src/actors/leader-tracker.ts
@@ -4,7 +4,7 @@
 import type { PeerStatus } from '../io/peers.js';
 import { STATUS_MAX_AGE_MS } from './state-service-monitor.js';
 
-/** A worker counts as heard for this long: a report period and a margin. */
+/** A worker counts as heard for this long after a report: a report period and a margin. */
 export const WORKER_HEARD_MAX_AGE_MS = 4000;
 
 /** Tracks the leader and the workers as seen by one node. */
--- a/src/actors/leader.ts
+++ b/src/actors/leader.ts
@@ -47,7 +47,7 @@
   lock: Lock;
   /** The lock as it was acquired. */
   held: HeldLock;
-  /** The latest complete snapshot. */
+  /** Head of the latest complete snapshot. */
   head: VersionedSnapshotHead;
   /** Called when a write is refused because another node leads. */
   onDeposed: (why: string) => void;
@@ -61,9 +61,9 @@
 const TICK_INTERVAL_MS = 1000;
 /** Shortest delay between an event and the round that it triggers. */
 const MIN_EVENT_ROUND_DELAY_MS = 200;
-/** Spacing of rounds after events, in lengths of the last round; at most a tick interval. */
+/** Spacing of rounds after events, as a multiple of the last round's duration; at most a tick interval. */
 const EVENT_ROUND_SPACING = 5;
-/** Spacing of rounds on ticks, in lengths of the last round; larger while the node is behind. */
+/** The same for rounds on ticks; larger while the node is behind. */
 const ROUND_SPACING = 1.5;
 const ROUND_SPACING_BEHIND = 4;
 /** Share of the sockets for direct calls to workers: most others hold the workers' own connections. */
@@ -214,7 +214,7 @@
 
   /**
    * Schedules a round before the next tick, after an event that may let tasks start. The delay grows with the
-   * last round's length, so that rounds take a bounded share of the processor on a site of any size.
+   * last round's duration, so that rounds take a bounded share of the processor on a site of any size.
    */
   private scheduleRound(): void {
     if (this.isRoundScheduled || this.stopped) return;
@@ -268,6 +268,7 @@
     this.snapshotter.compactIfDue();
   }
 
+  /** Submits a round's entries, preceded by a mark up to which record all commands are confirmed. */
   private write({ entries, starts, unplaced, usable }: RoundPlan): void {
     const upto = this.acknowledgements.processedUpTo(this.state.nextRecord);
     if (entries.length === 0) return;
--- a/src/actors/lock.ts
+++ b/src/actors/lock.ts
@@ -14,11 +14,11 @@
 import { RenewedLease, type RenewalStatistics } from './lease.js';
 
 const MIN_LOCK_LEASE_MS = 2500;
-/** Processor time that may pass between two renewals; with a small share of a core it takes longer. */
+/** Processor time that the lease allows for; with a small share of a core it takes longer to get it. */
 const LOCK_LEASE_PROCESSOR_MS = 340;
 /** Largest share of a worker's lease: a take-over after the leader fails has to fit into the rest of it. */
 const MAX_SHARE_OF_WORKER_LEASE = 1 / 3;
-/** Reads of the leader key after the transaction that writes it got no answer. */
+/** Maximum reads of the leader key after the transaction that writes it got no answer. */
 const MAX_READS = 3;
 const READ_INTERVAL_MS = 100;
 
@@ -89,7 +89,7 @@
     return this.current;
   }
 
-  /** Statistics of the lock that is held, or was held last. */
+  /** Renewal statistics of the lease that is, or was last, used for the lock. */
   renewalStatistics(): RenewalStatistics | null {
     return this.lease?.statistics ?? null;
   }
@@ -169,7 +169,7 @@
     return store.transact(guards, operations, leaseDurationMs);
   }
 
-  /** Finds out from the key whether a transaction was carried out whose answer is lost. */
+  /** Finds out from the leader key whether a transaction without an answer was carried out. */
   private async readOwnVersion(lease: LeaseId, term: Term): Promise<Version | null> {
     for (let reads = 0; reads < MAX_READS; reads++) {
       const holder = await this.readHolder(lease, term);
--- a/src/actors/log.ts
+++ b/src/actors/log.ts
@@ -10,10 +10,10 @@
 import { TokenBucket } from './token-bucket.js';
 import { COPY_TIMEOUT_MS, HedgedTransaction } from './hedged-transaction.js';
 
-/** Asks for entries to be appended to the log. */
+/** A request to append entries to the log. */
 export interface AppendRequest {
   entries: LogEntry[];
-  /** A user waits for it: it is written before the rest, and without a delay for batching. */
+  /** Whether a user waits for it: then it is written before the rest, and without a delay for batching. */
   urgent?: boolean;
   /** Called with true once the entries are in the log, with false if this leader won't write them. */
   onSettled?: (ok: boolean) => void;
@@ -29,9 +29,9 @@
   term: Term;
   /** Version of the leader key, which guards each write. */
   leaderVersion: number;
-  /** A write was refused because another node leads. */
+  /** Called when a write is refused because another node leads. */
   onDeposed: (why: string) => void;
-  /** A write was answered after this many milliseconds. */
+  /** Called when a write has succeeded, with its duration in milliseconds. */
   onWritten: (ms: number) => void;
 }
 
@@ -43,7 +43,6 @@
 const BATCH_DELAY_MS = 100;
 /** Size limit of a transaction without its guards and framing. */
 const MAX_TXN_BYTES = 60 * 1024;
-
 /** Part of a value's size limit that is kept for what a record holds beside its entries. */
 const RECORD_FRAME_BYTES = 300;
 /** Delay before a write is repeated, for each result that does not settle it. */
@@ -88,7 +87,7 @@
   private readonly state: ClusterState;
   private readonly clock: Clock;
   private readonly limits: LogOptions['limits'];
-  private readonly bucket: TokenBucket;
+  private readonly rateLimit: TokenBucket;
   private cancelWait: Cancel | null = null;
   /** Records that were written and applied, in order. */
   readonly committed = new Subject<{ recordNumber: RecordNumber; record: LogRecord }>();
@@ -102,19 +101,19 @@
     this.clock = clock;
     this.limits = limits;
     const burst = Math.max(1, Math.floor(limits.write_rps * BURST_S));
-    this.bucket = new TokenBucket(clock, limits.write_rps * WRITE_RATE_SHARE, burst);
+    this.rateLimit = new TokenBucket(clock, limits.write_rps * WRITE_RATE_SHARE, burst);
   }
 
   /** The most writes that a snapshot may take at once: it uses what the log leaves of the write rate. */
   get maxSpareWrites(): number {
-    return Math.max(1, Math.floor(this.bucket.burst / 2));
+    return Math.max(1, Math.floor(this.rateLimit.burst / 2));
   }
 
   /** Takes writes from the rate limit for a snapshot, if enough are left for a burst of records. */
   takeSpareWrites(count: number): boolean {
-    const { available, burst } = this.bucket;
+    const { available, burst } = this.rateLimit;
     if (available < Math.min(burst, count + burst / 2)) return false;
-    this.bucket.take(count);
+    this.rateLimit.take(count);
     return true;
   }
 
@@ -175,7 +174,7 @@
     this.cancelWait = null;
     if (this.urgent.length + this.queue.length === 0) return;
     const waitMs = Math.max(
-      this.bucket.waitMs,
+      this.rateLimit.waitMs,
       this.urgent.length > 0 ? 0 : this.lastWriteAt + BATCH_DELAY_MS - this.clock.steady(),
     );
     if (waitMs > 0) this.cancelWait = this.clock.after(Math.ceil(waitMs), () => this.pump());
@@ -185,7 +184,7 @@
   /** Takes queued requests, urgent ones first, up to the limits of a transaction and of the write rate. */
   private takeBatches(): Batch[] {
     const valueBytes = this.limits.value_kb * 1024;
-    const allowedRecords = Math.max(1, Math.floor(this.bucket.available));
+    const allowedRecords = Math.max(1, Math.floor(this.rateLimit.available));
     const maxRecords = Math.min(allowedRecords, this.limits.txn_ops, Math.floor(MAX_TXN_BYTES / valueBytes));
     const all = [...this.urgent, ...this.queue];
     const at = this.clock.wall();
@@ -210,7 +209,7 @@
     this.isWriting = true;
     const batches = this.takeBatches();
     this.inFlight = batches;
-    this.bucket.take(batches.length);
+    this.rateLimit.take(batches.length);
     const first = this.state.nextRecord as RecordNumber;
     const startedAt = this.clock.steady();
     this.lastWriteAt = this.writeStartedAt = startedAt;
@@ -256,8 +255,8 @@
   }
 
   /** Whether a refused record was written already by another copy; null when it can't be read. */
-  private async isWrittenByUs(no: RecordNumber, record: LogRecord): Promise<boolean | null> {
-    const item = await this.options.store.get(recordKey(no), COPY_TIMEOUT_MS);
+  private async isWrittenByUs(recordNumber: RecordNumber, record: LogRecord): Promise<boolean | null> {
+    const item = await this.options.store.get(recordKey(recordNumber), COPY_TIMEOUT_MS);
     if (item === undefined) return null;
     const stored = item?.value as LogRecord | undefined;
     return stored !== undefined && stored.term === record.term && stored.tag === record.tag;
--- a/src/actors/report-intake.ts
+++ b/src/actors/report-intake.ts
@@ -13,7 +13,7 @@
 
 /** A machine with more failed tasks than this gets no work. */
 const MAX_FAILURES = 1;
-/** After a take-over, silence counts only from this time on: workers first have to find the new leader. */
+/** Silence counts only from this long after a take-over: workers first have to find the new leader. */
 const TAKE_OVER_GRACE_MS = 3000;
 /** Intervals between reports vary by up to a quarter of the period. */
 export const REPORT_JITTER_FACTOR = 1.25;
@@ -92,7 +92,7 @@
     return available >= 2;
   }
 
-  /** Number of workers heard within that time. */
+  /** Number of workers heard within the last `withinMs` milliseconds. */
   countHeard(withinMs: number): number {
     let count = 0;
     for (const view of this.views.values()) if (this.clock.steady() - view.heardAt < withinMs) count++;
--- a/src/actors/round-planner.ts
+++ b/src/actors/round-planner.ts
@@ -28,7 +28,7 @@
 const STARVATION_MS = 150_000;
 /** The shortest expected run of a job, as a fraction of its estimate. */
 const MIN_RUN_FRACTION = 0.7;
-/** A job that was postponed counts as any other again once its age reaches this multiple of its objective. */
+/** A postponed job is treated like any other again once its age reaches this multiple of its objective. */
 const MAX_POSTPONEMENT_FACTOR = 3;
 /** A machine without a report for longer than this counts as silent. */
 const SILENT_AFTER_S = 6;
@@ -69,7 +69,7 @@
   private readonly teams: readonly Team[];
   /** Seconds within which jobs of a class should finish. */
   private readonly finishObjectiveS = new Map<string, number>();
-  /** The same by the tightest objective of the class; 0 if the objective is for the start. */
+  /** Seconds of the tightest objective of each class; 0 if the class has one for the wait until the start. */
   private readonly tightestObjectiveS = new Map<string, number>();
   /** Machines that the last round reserved for gangs. */
   private reserved: ReadonlySet<Machine> = new Set();
@@ -88,14 +88,14 @@
   plan(now: WallMs): RoundPlan {
     const { state, workers } = this.options;
     const usable = [...state.machines.values()].filter((machine) => workers.intake.canTakeWork(machine));
-    const stops = stopsForNotices(state, (machine) => workers.intake.noticeOf(machine) !== null);
+    const noticeStops = stopsForNotices(state, (machine) => workers.intake.noticeOf(machine) !== null);
     const claims = orderClaims(
       state,
       this.teams,
       (job) => this.isTooLate(job, now),
       (job) => now - job.at > STARVATION_MS && hasNeverStarted(job),
     );
-    const broken = stopsForBrokenGangs(
+    const gangStops = stopsForBrokenGangs(
       claims.map((claim) => claim.job),
       (attempt) => workers.progress.isWaitingForGang(attempt),
     );
@@ -104,8 +104,8 @@
     const input = this.capacityInput(usable, placed, preempted.unplaced, now);
     return {
       entries: [
-        ...stops,
-        ...broken,
+        ...noticeStops,
+        ...gangStops,
         ...placed.entries,
         ...preempted.entries,
         ...planRentals(input),
--- a/src/actors/snapshot.ts
+++ b/src/actors/snapshot.ts
@@ -10,6 +10,7 @@
 export interface VersionedSnapshotHead extends SnapshotHead {
   version: Version;
 }
+/** Stands for the head before the first snapshot. */
 export const NO_SNAPSHOT: VersionedSnapshotHead = { upto: 0, chunks: 0, version: 0 };
 
 /** Compresses a text outside the thread that renews the lock. */
@@ -18,7 +19,7 @@
 /** Items serialised in one step, so that a step stays short with a large state. */
 const ITEMS_PER_LINE = 40;
 
-/** Serialises a dumped state as JSON lines of one field or of some items of it, with pauses between lines. */
+/** Serialises a dumped state as JSON lines, each a field or some items of one, and pauses between lines. */
 export async function toJsonLines(
   dump: Record<string, unknown>,
   pause: () => Promise<void>,
@@ -41,8 +42,8 @@
     // Earlier versions wrote the whole state as one object.
     if (!Array.isArray(parsed)) return parsed;
     const [field, value] = parsed as [string, unknown];
-    const former = dump[field];
-    if (Array.isArray(former)) former.push(...(value as unknown[]));
+    const earlier = dump[field];
+    if (Array.isArray(earlier)) earlier.push(...(value as unknown[]));
     else dump[field] = value;
   }
   return dump;
--- a/src/actors/snapshotter.ts
+++ b/src/actors/snapshotter.ts
@@ -36,7 +36,7 @@
   head: VersionedSnapshotHead;
   /** Whether this leader is certain to hold its lock. */
   isCertain: () => boolean;
-  /** The copy of the state took this long, during which nothing is answered. */
+  /** Called when the state was copied, with the milliseconds that it took; nothing is answered meanwhile. */
   onStateCopied: (ms: number) => void;
 }
 
@@ -49,7 +49,7 @@
     this.head = options.head;
   }
 
-  /** Starts a compaction if there are enough records. One that was refused for good is never repeated. */
+  /** Starts a compaction if there are enough records. After one whose writes were refused, starts no more. */
   compactIfDue(): void {
     if (this.isCompacting || this.options.state.nextRecord - 1 - this.head.upto < RECORDS_PER_SNAPSHOT)
       return;
@@ -73,12 +73,12 @@
       Math.floor(limits.value_kb * 1024 - VALUE_FRAME_BYTES),
       compress,
     );
-    const old = this.head;
-    if (!(await this.writeChunks(upto, chunks, old.version))) return;
-    const head = await this.writeHead({ upto, chunks: chunks.length }, old.version);
+    const oldHead = this.head;
+    if (!(await this.writeChunks(upto, chunks, oldHead.version))) return;
+    const head = await this.writeHead({ upto, chunks: chunks.length }, oldHead.version);
     if (!head) return;
     this.head = head;
-    await this.removeObsoleteKeys(old, head);
+    await this.removeObsoleteKeys(oldHead, head);
     this.isCompacting = false;
     logger.info({ upto, chunks: chunks.length, bytes: text.length }, 'log compacted into a snapshot');
   }
@@ -105,10 +105,14 @@
   }
 
   /** Removes the records that the new snapshot holds, and the old snapshot's chunks. */
-  private async removeObsoleteKeys(old: VersionedSnapshotHead, head: VersionedSnapshotHead): Promise<void> {
+  private async removeObsoleteKeys(
+    oldHead: VersionedSnapshotHead,
+    head: VersionedSnapshotHead,
+  ): Promise<void> {
     const ops: WriteOperation[] = [];
-    for (let no = old.upto + 1; no <= head.upto; no++) ops.push({ remove: recordKey(no) });
-    for (let index = 0; index < old.chunks; index++) ops.push({ remove: chunkKey(old.upto, index) });
+    for (let recordNumber = oldHead.upto + 1; recordNumber <= head.upto; recordNumber++)
+      ops.push({ remove: recordKey(recordNumber) });
+    for (let index = 0; index < oldHead.chunks; index++) ops.push({ remove: chunkKey(oldHead.upto, index) });
     await this.writeInParts(ops, this.maxOpsPerTxn(), head.version);
   }
 
--- a/src/actors/state-service-monitor.ts
+++ b/src/actors/state-service-monitor.ts
@@ -8,11 +8,11 @@
 import type { ReceivedStatus } from '../io/peers.js';
 
 /**
- * Lease durations without a renewal answered in time from which on the state service is in doubt: peers are
- * asked whether it answers them.
+ * The state service is in doubt after this many lease durations without a renewal answered in time; peers
+ * then check whether it answers them.
  */
 const DOUBT_AFTER_LEASES = 1 / 2;
-/** Lease durations for which a write is pending that raise the same doubt, and that lead to a hand-over. */
+/** A write that is pending for so many lease durations raises the same doubt, or leads to a hand-over. */
 const PENDING_DOUBT_LEASES = 1;
 const MAX_PENDING_LEASES = 4;
 /** Age up to which a peer's status counts: three of the intervals at which it is sent. */
@@ -35,7 +35,7 @@
 export class StateServiceMonitor {
   /** Since when a peer has reached the state service without interruption while this node is in doubt. */
   private peerReachesSince: SteadyMs | null = null;
-  private isDoubting = false;
+  private inDoubt = false;
 
   constructor(
     private readonly clock: Clock,
@@ -43,14 +43,14 @@
     private readonly leaseDurationMs: number,
   ) {}
 
-  /** Peers that learn of this query the state service, and report whether it answers. */
+  /** Whether the state service is in doubt. Peers that learn of it check whether the service answers them. */
   get isInDoubt(): boolean {
-    return this.isDoubting;
+    return this.inDoubt;
   }
 
   /** To be called while the lock is not held. */
   reset(): void {
-    this.isDoubting = false;
+    this.inDoubt = false;
     this.peerReachesSince = null;
   }
 
@@ -62,11 +62,11 @@
   check(progress: HolderProgress, peers: readonly ReceivedStatus[]): string | null {
     const isLate = progress.sinceTimelyRenewalMs > this.leaseDurationMs * DOUBT_AFTER_LEASES;
     const isStuck = progress.pendingMs > this.leaseDurationMs * PENDING_DOUBT_LEASES;
-    this.setDoubt(isLate || isStuck, progress);
+    this.setInDoubt(isLate || isStuck, progress);
     const peerReaches = peers.some(
       ({ status, ageMs }) => ageMs < STATUS_MAX_AGE_MS && status.reachesState && !status.gaveWay,
     );
-    if (!this.isDoubting || !peerReaches) {
+    if (!this.inDoubt || !peerReaches) {
       this.peerReachesSince = null;
       return null;
     }
@@ -77,9 +77,9 @@
     return 'records do not get through, and the state service answers a peer';
   }
 
-  private setDoubt(inDoubt: boolean, progress: HolderProgress): void {
-    if (inDoubt === this.isDoubting) return;
-    this.isDoubting = inDoubt;
+  private setInDoubt(inDoubt: boolean, progress: HolderProgress): void {
+    if (inDoubt === this.inDoubt) return;
+    this.inDoubt = inDoubt;
     const untimelyMs = Math.round(progress.sinceTimelyRenewalMs);
     const stuckMs = Math.round(progress.pendingMs);
     this.logger.info(
--- a/src/actors/user-requests.ts
+++ b/src/actors/user-requests.ts
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Answers with the number of the next record. Upholds that no reply is older than an earlier one: only a
-   * leader that certainly holds its lock knows this number.
+   * Answers with the number of the next record. Upholds that no reply shows an older state than an
+   * earlier reply: only a leader that certainly holds its lock knows this number.
    */
   private async answerPosition(): Promise<PeerResponse> {
     const { follower, localLeader, lock } = this.options;
@@ -135,8 +135,8 @@
 
   /**
    * The reply from the log, read up to the present, while no leader is reached; null for requests that need a
-   * record, or if the log cannot be read on. Upholds forgotten, and that no reply is older than an earlier one:
-   * any leader would derive the same reply from the log.
+   * record, or if the log cannot be read on. Upholds forgotten, and that no reply shows an older state
+   * than an earlier reply: any leader would derive the same reply from the log.
    */
   private async readFromLog({ kind, job }: JobRequest): Promise<Reply | null> {
     const { follower } = this.options;
--- a/src/actors/worker-reachability.ts
+++ b/src/actors/worker-reachability.ts
@@ -10,7 +10,7 @@
 
 /**
  * A worker that a peer redirects to this leader contacts it at once or within half a second. If none has done
- * so after this time, which includes the time that a status takes, workers can't reach this node.
+ * so after this time, which allows for the delay of a status, workers can't reach this node.
  */
 const REDIRECT_WAIT_MS = 2000;
 /** Age up to which a peer's status counts here. */
--- a/src/actors/workers.ts
+++ b/src/actors/workers.ts
@@ -35,7 +35,7 @@
   | { kind: 'report'; report: WorkerReport; reply: (answer: FencedCommands | null) => void }
   /** A record was written, so the commands that follow from it may be sent to these machines. */
   | { kind: 'commandsDue'; machines: Iterable<MachineId> }
-  /** A cancellation is being written (`isUnderWay`), or no more: meanwhile no start of the job is sent. */
+  /** The write of a cancellation begins (`isUnderWay`) or ends. In between, no start of the job is sent. */
   | { kind: 'cancelling'; job: JobId; isUnderWay: boolean }
   | { kind: 'tick' };
 
