--- a/src/core/allocation.ts
+++ b/src/core/allocation.ts
@@ -17,8 +17,8 @@
 
 /**
  * Allocates resources to up to `taskCount` identical tasks and takes them from the candidates. Each chosen
- * machine gets as many tasks as fit. Uses the best of a few sampled machines while that succeeds, then ranks
- * all once.
+ * machine gets as many tasks as fit. Takes the best of a few sampled machines while that succeeds, then ranks
+ * all machines once.
  */
 export function allocate(
   candidates: Candidate[],
@@ -77,5 +77,5 @@
 /** Tasks allocated in the zone so far, counted only for a job that is to be spread over zones. */
 const allocatedInZone = (allocations: Allocation[], zone: string, isSpread: boolean): number =>
   isSpread
-    ? allocations.reduce((sum, x) => sum + (x.candidate.machine.zone === zone ? x.taskCount : 0), 0)
+    ? allocations.reduce((sum, one) => sum + (one.candidate.machine.zone === zone ? one.taskCount : 0), 0)
     : 0;
--- a/src/core/capacity.ts
+++ b/src/core/capacity.ts
@@ -28,30 +28,31 @@
   secondsRemaining: (attempt: TaskAttempt) => number;
   /** Seconds since a machine's last report. */
   secondsSilent: (machine: Machine) => number;
+  /** Whether most machines are silent, so that the cause may be the network. */
   mostAreSilent: boolean;
-  /** Whether a cancelled task still exists although stops have had time enough to end it. */
+  /** Whether a cancelled task is still present after the time that its stop is given. */
   isOverdue: (attempt: TaskAttempt) => boolean;
   leaseS: number;
   policy: Policy;
 }
 
-/** A number of machines with equal resources for tasks: booting, to be rented, or in use and soon free. */
+/** Machines of one offer with equal free resources: booting, to be rented, or in use and soon free. */
 interface Bin extends Resources {
   type: MachineType;
   zone: string;
   spot: boolean;
   isNew: boolean;
-  /** Of a machine in use whose tasks will end before a new machine could be up; null for all other bins. */
+  /** The machine, if it is in use and counted with what will be free before a new one could be up; or null. */
   id: MachineId | null;
   count: number;
 }
 
 const priceOf = (type: MachineType, spot: boolean): number => (spot ? type.spotPrice : type.price);
 
-/** In boot times of the type: how long a booting machine is counted on, and after how long it is returned. */
+/** Multiples of the type's boot time: how long a machine is counted on, and after how long it is returned. */
 const WAIT_BOOTS = 3;
 const MAX_BOOTS = 3.5;
-/** Used in both places while no machine of the offer has come up recently: all its boots may be slow. */
+/** Replaces both while no machine of the offer has come up recently: all its boots may be slow. */
 const SLOW_BOOTS = 12;
 const RECENT_BOOT_MS = 180_000;
 
@@ -79,19 +80,20 @@
   /** Whether a booting machine still counts as capacity for waiting tasks. */
   isAwaited(machine: Machine): boolean {
     const { slowest, oldest } = this.boots.get(offerId(machine))!;
-    const boot = this.nominalMs(machine);
+    const bootMs = this.nominalMs(machine);
     // Prevents rentals in a loop: where no machine comes up, late machines are replaced only once.
-    const retry = slowest === 0 && this.now - oldest > boot * WAIT_BOOTS && machine.hiredAt - oldest > boot;
-    return this.now - machine.hiredAt < Math.max(boot * (retry ? SLOW_BOOTS : WAIT_BOOTS), slowest * 1.2);
+    const retry =
+      slowest === 0 && this.now - oldest > bootMs * WAIT_BOOTS && machine.hiredAt - oldest > bootMs;
+    return this.now - machine.hiredAt < Math.max(bootMs * (retry ? SLOW_BOOTS : WAIT_BOOTS), slowest * 1.2);
   }
 
   /** Whether a machine boots for too long. Slow boots get more time, or all may be returned too early. */
   neverCameUp(machine: Machine): boolean {
     const { slowest } = this.boots.get(offerId(machine))!;
-    const boot = this.nominalMs(machine);
+    const bootMs = this.nominalMs(machine);
     const timeoutMs = Math.max(
       60_000,
-      slowest > 0 ? Math.max(boot * MAX_BOOTS, slowest * 1.5) : boot * SLOW_BOOTS,
+      slowest > 0 ? Math.max(bootMs * MAX_BOOTS, slowest * 1.5) : bootMs * SLOW_BOOTS,
     );
     return this.now - machine.hiredAt > timeoutMs;
   }
@@ -110,11 +112,11 @@
       for (const spot of [true, false])
         if (input.zones.includes(zone) && !input.isBackedOff(type.name, zone, spot))
           offers.push({ type, zone, spot });
-  // On days when the cloud has nothing left to rent, the calculations below are skipped.
+  // Saves the calculations below while the cloud has nothing to rent.
   if (offers.length === 0) return [];
   const bins: Bin[] = [];
   const emptyBins = new Map<string, Bin>();
-  const addBins = (type: MachineType, zone: string, spot: boolean, isNew: boolean, n = 1): Bin => {
+  const addBins = (type: MachineType, zone: string, spot: boolean, isNew: boolean, count = 1): Bin => {
     const key = `${type.name}|${zone}|${spot}|${isNew}`;
     let bin = emptyBins.get(key);
     if (!bin) {
@@ -122,7 +124,7 @@
       emptyBins.set(key, bin);
       bins.push(bin);
     }
-    bin.count += n;
+    bin.count += count;
     return bin;
   };
   const rentedCpus = new Map<string, number>();
@@ -137,12 +139,11 @@
     const type = state.machineTypes.get(rental.type);
     if (type) addBins(type, rental.zone, rental.spot, false, rental.n);
   }
-  // Resources that become free before a new machine could be up are worth waiting for, unless a job is
-  // urgent.
+  // Unless a job is urgent, it can wait for resources that become free before a new machine could be up.
   const smallest: Resources = { cpus: Infinity, gpus: Infinity, mem: Infinity };
   for (const { job } of unplaced)
     for (const k of ['cpus', 'gpus', 'mem'] as const) smallest[k] = Math.min(smallest[k], job.spec[k]);
-  const anyCanWait = unplaced.some((u) => priorityRank[u.job.spec.priority] < priorityRank.high);
+  const anyCanWait = unplaced.some((entry) => priorityRank[entry.job.spec.priority] < priorityRank.high);
   for (const vm of anyCanWait ? input.usable : []) {
     const vmType = state.machineTypes.get(vm.type);
     if (!vmType) continue;
@@ -152,22 +153,22 @@
     if (fits(free, smallest))
       bins.push({ type: vmType, zone: vm.zone, spot: vm.spot, ...free, isNew: false, id: vm.id, count: 1 });
   }
-  /** Packs tasks into a bin's machines, splitting off those; returns how many tasks found a place. */
+  /** Packs tasks into machines of a bin, which get bins of their own; returns how many tasks were packed. */
   const packInto = (bin: Bin, request: Resources, taskCount: number): number => {
     const perMachine = slotCount(bin, request);
     if (perMachine === 0 || bin.count === 0 || taskCount === 0) return 0;
     const split = (count: number, tasksEach: number): void => {
       if (count === 0) return;
-      const rest = { ...bin, count };
-      addTo(rest, request, -tasksEach);
+      const used = { ...bin, count };
+      addTo(used, request, -tasksEach);
       bin.count -= count;
-      bins.push(rest);
+      bins.push(used);
     };
     const full = Math.min(bin.count, Math.floor(taskCount / perMachine));
     split(full, perMachine);
-    const rest = bin.count > 0 ? taskCount % perMachine : 0;
-    if (rest > 0) split(1, rest);
-    return full * perMachine + rest;
+    const remainder = bin.count > 0 ? taskCount % perMachine : 0;
+    if (remainder > 0) split(1, remainder);
+    return full * perMachine + remainder;
   };
   const soleFits = soleFitTypes(state);
   const rented = new Map<string, { bin: Bin; machineCount: number }>();
@@ -209,17 +210,17 @@
       left = spec.tasks;
     }
     if (spec.oneZone && target === null) {
-      // All tasks have to go to one zone: the one with the most places in bins that can also provide the
-      // rest.
+      // All tasks go to one zone: the one with the most places in bins that can also provide the rest.
       const slots = new Map<string, number>();
       for (const bin of bins)
         if (isEligible(bin))
           slots.set(bin.zone, (slots.get(bin.zone) ?? 0) + Math.min(left, bin.count * slotCount(bin, spec)));
       const rentableZones = new Set(options(null).map((offer) => offer.zone));
       const zones = [...new Set([...slots.keys(), ...rentableZones])];
+      /** Places for the tasks in a zone; -1 if it has too few and can't get more machines. */
       const worth = (name: string): number => {
-        const found = Math.min(left, slots.get(name) ?? 0);
-        return found === left || rentableZones.has(name) ? found : -1;
+        const places = Math.min(left, slots.get(name) ?? 0);
+        return places === left || rentableZones.has(name) ? places : -1;
       };
       // Among equal zones, the one with the fewest rented CPUs: that spreads the load.
       const ranked = zones.map((name) => ({ name, worth: worth(name), cpus: rentedCpus.get(name) ?? 0 }));
@@ -227,7 +228,7 @@
       if (ranked.length === 0 || ranked[0]!.worth < 0) continue;
       target = ranked[0]!.name;
     }
-    for (let i = 0, n = bins.length; i < n && left > 0; i++) {
+    for (let i = 0, count = bins.length; i < count && left > 0; i++) {
       const bin = bins[i]!;
       if (isEligible(bin) && (target === null || bin.zone === target)) left -= packInto(bin, spec, left);
     }
@@ -245,7 +246,7 @@
   }
   return [...rented.values()].flatMap(({ bin, machineCount }) => {
     const entries: LogEntry[] = [];
-    for (let left = Math.min(machineCount, MAX_RENTED); left > 0; left -= 50)
+    for (let left = Math.min(machineCount, MAX_RENTED_PER_OFFER); left > 0; left -= 50)
       entries.push({
         e: 'hire',
         name: input.nextRentalName(),
@@ -258,10 +259,10 @@
   });
 }
 
-/** Most machines of one offer in one round; the cloud's answers tell whether it has more. */
-const MAX_RENTED = 150;
+/** Limit of one round; the cloud's answers show whether more can be rented in the next. */
+const MAX_RENTED_PER_OFFER = 150;
 
-/** Plans returns of machines that never came up, are silent, faulty or idle, or hold overdue tasks. */
+/** Plans returns of machines that never came up, are silent, faulty or idle, or run overdue cancelled tasks. */
 export function planReturns(input: CapacityInput): LogEntry[] {
   const { state, now } = input;
   const drops = new Map<string, MachineId[]>();
@@ -273,7 +274,7 @@
   const bootTimeouts = new BootTimeouts(state, now);
   for (const machine of state.machines.values()) {
     if (machine.drop) continue;
-    const kind = { zone: machine.zone, spot: machine.spot, type: state.machineTypes.get(machine.type) };
+    const attributes = { zone: machine.zone, spot: machine.spot, type: state.machineTypes.get(machine.type) };
     if (machine.session === 0) {
       if (bootTimeouts.neverCameUp(machine)) add('never up', machine);
       continue;
@@ -282,8 +283,8 @@
     // When most machines are silent, the network may be at fault, so they get more time. Once their lease has
     // expired, nothing is left on them that waiting could save.
     const timeoutS = input.mostAreSilent
-      ? Math.max(input.policy.silenceTimeoutS(kind), input.leaseS * 1.25 + 3)
-      : input.policy.silenceTimeoutS(kind);
+      ? Math.max(input.policy.silenceTimeoutS(attributes), input.leaseS * 1.25 + 3)
+      : input.policy.silenceTimeoutS(attributes);
     if (silentS > timeoutS) add('silent', machine);
     else if (machine.stopping > 0 && [...machine.live].some(input.isOverdue)) add('withdrawn', machine);
     else if (machine.errors >= 2) add('faulty', machine);
@@ -291,7 +292,7 @@
       machine.live.size === 0 &&
       !input.retained.has(machine) &&
       now - machine.hiredAt > 50_000 &&
-      now - machine.idleSince > input.policy.idleTimeoutS(kind) * 1000
+      now - machine.idleSince > input.policy.idleTimeoutS(attributes) * 1000
     )
       add('idle', machine);
   }
--- a/src/core/claims.ts
+++ b/src/core/claims.ts
@@ -12,12 +12,13 @@
 
 /**
  * Claims of all unfinished jobs in the order in which they are served: jobs within their team's guarantee
- * first, then starving jobs, then by priority, then jobs that can still meet their objective, then by age.
+ * first, then starving jobs, then by priority, then jobs that can still meet their objective, then by order of
+ * submission.
  */
 export function orderClaims(
   state: ClusterState,
   teams: readonly Team[],
-  /** Whether a job will miss its objective whatever is done now. */
+  /** Whether a job can no longer finish within its objective. */
   isTooLate: (job: Job) => boolean,
   /** Whether a job has waited for too long without any start; it goes before jobs of higher priority. */
   isStarving: (job: Job) => boolean = () => false,
--- a/src/core/model.ts
+++ b/src/core/model.ts
@@ -31,7 +31,7 @@
   /** Gangs: the number of the present or next attempt, and whether the present one lost a task. */
   gangTry: number;
   broken: boolean;
-  /** Gangs: machines on which tasks of the broken attempt were ready, for the next one. */
+  /** Gangs: machines on which tasks of the broken attempt were ready, kept for the next attempt. */
   places: MachineId[];
   /** Failures since a task was last done. */
   errors: number;
@@ -52,7 +52,7 @@
   session: Session;
   hiredAt: WallMs;
   upAt: WallMs;
-  /** Why it is to be returned; null while it is kept. */
+  /** Why it is to be returned to the cloud; null while it is kept. */
   drop: string | null;
   /** Failures of tasks since one was last done here, except of jobs that fail on any machine. */
   errors: number;
@@ -65,7 +65,7 @@
   /** Sizes in GB of the images that tasks were started with here, the latest last. */
   images: Map<string, number>;
   idleSince: WallMs;
-  /** Resources in use, as the next two. */
+  /** With `gpus` and `mem`: resources in use by the attempts present here. */
   cpus: number;
   gpus: number;
   mem: number;
--- a/src/core/orderly-stops.ts
+++ b/src/core/orderly-stops.ts
@@ -3,12 +3,12 @@
 import type { ClusterState } from './state.js';
 import type { LogEntry } from './types.js';
 
-/** Grace in addition to the time that a task needs to save. */
+/** Added to the time that a task needs to save. */
 const GRACE_MARGIN_S = 1;
 
 type StopEntry = Extract<LogEntry, { e: 'stop' }>;
 
-/** Stops tasks that can save, with time to do so, on machines with a notice; a gang as a whole. */
+/** Stops tasks that take checkpoints on machines about to be taken away, with time to save; gangs as a whole. */
 export function stopsForNotices(state: ClusterState, hasNotice: (machine: Machine) => boolean): LogEntry[] {
   const stops: LogEntry[] = [];
   const handled = new Set<Job>();
@@ -35,8 +35,7 @@
 
 /**
  * Stops the tasks that wait for a gang which has lost a task: they would wait until the gang wait time is
- * over, and delay the next attempt. Tasks that still fetch go on, because the next attempt needs their images
- * too.
+ * over, and delay the next attempt. Tasks that still fetch go on: the next attempt needs their images too.
  */
 export function stopsForBrokenGangs(
   jobs: Iterable<Job>,
--- a/src/core/placement.ts
+++ b/src/core/placement.ts
@@ -58,7 +58,7 @@
 }
 
 const NO_RESOURCES: Resources = Object.freeze({ cpus: 0, gpus: 0, mem: 0 });
-/** Age of a gang from which machines are drained for it if it fits nowhere. */
+/** Age from which machines are drained for a gang that fits nowhere. */
 const DRAIN_AFTER_S = 45;
 /** A larger entry would not fit into a log record beside others. */
 const MAX_STARTS_PER_ENTRY = 100;
@@ -69,6 +69,7 @@
 const countTasks = (allocations: readonly Allocation[]): number =>
   allocations.reduce((sum, allocation) => sum + allocation.taskCount, 0);
 
+/** Places the tasks of all claims, in order; holds what the round has assigned so far. */
 class PlacementRound {
   private readonly candidates: Candidate[];
   private readonly candidateById: ReadonlyMap<MachineId, Candidate>;
@@ -283,7 +284,7 @@
   return candidates;
 }
 
-/** Notes what the attempts on a machine will release, and what they are fetching. */
+/** Records what the attempts on a machine will release, and what they are fetching. */
 function recordAttempts(candidate: Candidate, { isFetching, now }: PlacementInput): void {
   for (const attempt of candidate.machine.live) {
     const { spec } = attempt.job;
--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -22,7 +22,7 @@
   releasingResources: PlacementResult['releasingResources'];
   /** Seconds since a task was first reported running; null if it was not yet. */
   secondsRun: (attempt: TaskAttempt) => number | null;
-  /** Least priority rank from which a job may preempt jobs of lower priority. */
+  /** Lowest priority rank of the jobs that may preempt jobs of lower priority. */
   minRank: number;
 }
 
@@ -37,7 +37,7 @@
   machine: Machine;
 }
 
-/** Cost of stopping a task: the work that is lost, in CPU seconds. */
+/** Cost of stopping a task, roughly the work that is lost, in CPU seconds. */
 function preemptionCost(attempt: TaskAttempt, secondsRun: number | null): number {
   const spec = attempt.job.spec;
   if (secondsRun === null) return spec.cpus * 2;
@@ -55,10 +55,10 @@
   const { state, teams } = input;
   if (input.unplaced.length === 0) return { entries: [], unplaced: [] };
   const claimOrder = new Map<Job, { position: number; guaranteed: boolean }>();
-  input.claims.forEach((claim, i) =>
-    claimOrder.set(claim.job, { position: i, guaranteed: claim.guaranteed }),
+  input.claims.forEach((claim, position) =>
+    claimOrder.set(claim.job, { position, guaranteed: claim.guaranteed }),
   );
-  /** Teams that use more than their guarantee. */
+  /** Names of the teams that use more than their guarantee. */
   const exceeds = new Set<string>();
   for (const team of teams) {
     const usage = state.teamUsage.get(team.name);
@@ -112,22 +112,22 @@
       if (fits(capacity, spec)) return { capacity, victims: [], cost: 0 };
       if (spec.spread || preemptible.size === 0) return null;
       const available = { cpus: capacity.cpus, gpus: capacity.gpus, mem: capacity.mem };
-      const lower: TaskAttempt[] = [];
+      const stoppable: TaskAttempt[] = [];
       for (const attempt of capacity.machine.live) {
         if (attempt.stop || !preemptible.has(attempt.job) || chosen.has(attempt)) continue;
-        lower.push(attempt);
+        stoppable.push(attempt);
         addTo(available, attempt.job.spec);
       }
       if (!fits(available, spec)) return null;
-      const stoppable = lower.map((attempt) => ({
+      const byCost = stoppable.map((attempt) => ({
         attempt,
         cost: preemptionCost(attempt, input.secondsRun(attempt)),
       }));
-      stoppable.sort((a, b) => a.cost / a.attempt.job.spec.cpus - b.cost / b.attempt.job.spec.cpus);
+      byCost.sort((a, b) => a.cost / a.attempt.job.spec.cpus - b.cost / b.attempt.job.spec.cpus);
       Object.assign(available, { cpus: capacity.cpus, gpus: capacity.gpus, mem: capacity.mem });
       const victims: TaskAttempt[] = [];
       let totalCost = capacity.machine.images.has(spec.image) ? 0 : spec.cpus * 4;
-      for (const victim of stoppable) {
+      for (const victim of byCost) {
         if (fits(available, spec)) break;
         victims.push(victim.attempt);
         totalCost += victim.cost;
@@ -167,7 +167,7 @@
       }
     }
     if (missing > 0 && spec.gang) {
-      // A gang can't start with a part of its tasks: the plans are withdrawn.
+      // A gang can't start with a part of its tasks: the plans are undone.
       for (const plan of plans) {
         addTo(plan.capacity, spec);
         for (const victim of plan.victims) {
--- a/src/core/reserve.ts
+++ b/src/core/reserve.ts
@@ -1,4 +1,4 @@
-/** Reserves resources that are being released, or that a gang gathers, for the job that waits for them. */
+/** Reserves resources for jobs that wait: those being released and, for a gang, those that are free already. */
 import type { Allocation } from './allocation.js';
 import type { Job, Machine } from './model.js';
 import { addTo, fits, sumOf, type Resources } from './resources.js';
@@ -26,15 +26,15 @@
   if (spec.spread) return { taskCount: 0, zone: null };
   const take = (from: Candidate[], resourcesOf: (candidate: Candidate) => Resources): Allocation[] => {
     const taken: Allocation[] = [];
-    let left = taskCount;
+    let remaining = taskCount;
     for (const target of from) {
-      if (left === 0) break;
+      if (remaining === 0) break;
       if (spec.oneZone && taken.length > 0 && taken[0]!.candidate.machine.zone !== target.machine.zone)
         continue;
-      const count = Math.min(left, slotCount(resourcesOf(target), spec));
+      const count = Math.min(remaining, slotCount(resourcesOf(target), spec));
       if (count === 0) continue;
       addTo(target, spec, -count);
-      left -= count;
+      remaining -= count;
       taken.push({ candidate: target, taskCount: count });
     }
     return taken;
--- a/src/core/state-dump.ts
+++ b/src/core/state-dump.ts
@@ -43,7 +43,7 @@
   };
 }
 
-/** The state of which dumpState() gave this copy. */
+/** Restores the state from a copy made by dumpState(). */
 export function loadState(raw: unknown): ClusterState {
   // eslint-disable-next-line @typescript-eslint/no-explicit-any -- written by dumpState
   const d = raw as any;
@@ -68,16 +68,16 @@
       mem: 0,
       images: new Map(machine.images),
     });
-  for (const dumped of d.jobs) {
+  for (const storedJob of d.jobs) {
     const job: Job = {
-      ...dumped,
-      back: new Map(dumped.back),
-      errorMachines: new Set(dumped.errorMachines),
-      places: dumped.places ?? [],
+      ...storedJob,
+      back: new Map(storedJob.back),
+      errorMachines: new Set(storedJob.errorMachines),
+      places: storedJob.places ?? [],
       live: new Map(),
     };
     state.jobs.set(job.spec.id, job);
-    for (const [task, attempt, id, session, startedAt, stop] of dumped.live) {
+    for (const [task, attempt, id, session, startedAt, stop] of storedJob.live) {
       state.addAttempt({ job, task, attempt, machine: state.machines.get(id)!, session, startedAt, stop });
     }
   }
--- a/src/core/types.ts
+++ b/src/core/types.ts
@@ -10,14 +10,17 @@
 export type JobId = Brand<string, 'JobId'>;
 export type MachineId = Brand<string, 'MachineId'>;
 export type NodeId = Brand<string, 'NodeId'>;
-/** Number of a leadership; each later leader has a higher one. */
+/** Election epoch: a leader has a higher one than all leaders before it. */
 export type Term = Brand<number, 'Term'>;
 /** Number of one run of a machine's worker; a later run has killed all tasks of the earlier ones. */
 export type Session = Brand<number, 'Session'>;
 /** Counts the starts of one task, from 1. */
 export type AttemptNumber = Brand<number, 'AttemptNumber'>;
 export type RecordNumber = Brand<number, 'RecordNumber'>;
-/** Fencing token for one worker within a term: once it has seen one, it drops calls under lower ones. */
+/**
+ * The part of a worker's fencing token that a leader raises within its term. A worker drops calls that carry a
+ * lower token than it has seen.
+ */
 export type Fence = Brand<number, 'Fence'>;
 /** Wall-clock time in milliseconds; clocks of different nodes differ by up to the platform's bound. */
 export type WallMs = Brand<number, 'WallMs'>;
@@ -46,6 +49,7 @@
   zone: string | null;
   /** All tasks must run in the same zone. */
   oneZone: boolean;
+  /** At most half of the tasks, rounded up, may run in the same zone. */
   spread: boolean;
   /** Tasks may run on spot machines. */
   spot: boolean;
@@ -83,7 +87,10 @@
   gpusMax: number;
 }
 
-/** Why an attempt ended. `lost` and `void` are never reported by a worker. */
+/**
+ * Why an attempt ended. No worker reports the last two: `lost` is the end with the machine or the worker's
+ * session, `void` that of an attempt stopped before its start was delivered.
+ */
 export type EndCause =
   'done' | 'stopped' | 'peers' | 'alone' | 'error' | 'no_room' | 'busy' | 'unknown' | 'lost' | 'void';
 
@@ -127,7 +134,8 @@
  * One decision or observation in a record. Everything that a later leader must know is one of these.
  *
  * The fields are stored: `e` is the kind, `m` a machine or several, `s` a worker's session, `p` the tasks
- * concerned.
+ * concerned. `hire` is a rental request and `hired` its answer, `drop` the decision to return machines,
+ * `gone` means that the cloud has taken them back; for `mark` see ClusterState.processedUpTo.
  */
 export type LogEntry =
   | { e: 'job'; spec: JobSpec }
--- a/src/core/unsettled-calls.ts
+++ b/src/core/unsettled-calls.ts
@@ -1,5 +1,5 @@
 /**
- * Direct calls to one worker that carried starts and may still be carried out.
+ * Direct calls to one worker that contain starts and may still take effect.
  *
  * Each call is settled on its own: the answer to one says nothing about another that timed out, which may
  * arrive minutes later. A call without an answer is settled by a report that shows a fence above the call's
@@ -12,10 +12,10 @@
 /** Identifies one attempt of one task, see attemptKey(). */
 export type AttemptKey = string;
 
-/** A direct call that carried starts. */
+/** A direct call that contains starts. */
 export interface StartCall {
   number: CallNumber;
-  /** The fence that the call carries: a worker that has seen a higher one drops the call. */
+  /** The call's fence: a worker that has seen a higher one drops the call. */
   fence: Fence;
   /** The attempts that it starts. */
   attempts: ReadonlySet<AttemptKey>;
--- a/src/core/worker-commands.ts
+++ b/src/core/worker-commands.ts
@@ -1,4 +1,4 @@
-/** Compares a worker's report with the log: commands due to the worker, and facts to record. */
+/** Compares a worker's report with the log: commands due to the worker, and facts to be recorded. */
 import { JOB_CANCELLED, type TaskAttempt, type Machine } from './model.js';
 import type { ClusterState } from './state.js';
 import type { EndCause, Command, LogEntry, Fence, JobId, WorkerReport } from './types.js';
@@ -57,7 +57,7 @@
   commands: Command[];
   /** Attempts that were stopped before their start was sent, so that nothing starts them any more. */
   undeliveredStarts: TaskAttempt[];
-  /** The highest fence of calls that must not start anything any more: the worker's next one is higher. */
+  /** The highest fence of calls that must not start anything any more: the worker's must become higher. */
   fenceToExceed: Fence | null;
 }
 
@@ -69,6 +69,7 @@
 export function commandsForWorker(
   state: ClusterState,
   worker: ObservedWorker,
+  /** False until the workers have reported to this leader, or have had time to. */
   mayStart: boolean,
 ): WorkerCommands {
   const report = worker.report;
@@ -76,7 +77,8 @@
   const commands: Command[] = [];
   const undeliveredStarts: TaskAttempt[] = [];
   let fenceToExceed: Fence | null = null;
-  const exceed = (fence: Fence): void => void (fenceToExceed = Math.max(fenceToExceed ?? 0, fence) as Fence);
+  const raiseAbove = (fence: Fence): void =>
+    void (fenceToExceed = Math.max(fenceToExceed ?? 0, fence) as Fence);
   if (!machine || machine.session !== report.session) return { commands, undeliveredStarts, fenceToExceed };
   const reportedAttempts = new Set<TaskAttempt>();
   for (const reported of report.tasks) {
@@ -88,13 +90,13 @@
     if (isCurrent && !logged.stop && reported.state !== 'exited') continue;
     const ref = { job: reported.job, task: reported.task, attempt: reported.attempt };
     if (reported.state === 'exited') {
-      // Upholds ran_twice and ran_cancelled: a worker that has forgotten an attempt runs it again on a late
-      // start. So its end is recorded first, and no copy of its start may be in flight, whichever was
-      // answered.
+      // Upholds ran_twice and ran_cancelled: a worker that has forgotten an attempt runs it again if a call
+      // with its start arrives late. It may forget the attempt only when its end is in a record and every
+      // such call is settled.
       const fence = worker.unsettledCalls.highestFenceOf(
         attemptKey(reported.job, reported.task, reported.attempt),
       );
-      if (fence !== null) exceed(fence);
+      if (fence !== null) raiseAbove(fence);
       else if (!isCurrent) commands.push({ op: 'forget', ...ref });
     } else if (!isCurrent) commands.push({ op: 'stop', ...ref, grace: 0 });
     else if (logged.stop && (reported.state !== 'saving' || logged.stop.grace === 0))
@@ -117,7 +119,7 @@
     // Prevents starts after a confirmed cancellation: a start that may still arrive is neither repeated nor
     // stopped (the worker does not know the task yet), but invalidated by a higher fence.
     const fence = worker.unsettledCalls.highestFenceOf(key);
-    if (fence !== null) exceed(fence);
+    if (fence !== null) raiseAbove(fence);
     else if (!worker.startedInAnswer.has(key) && mayStart) undeliveredStarts.push(attempt);
   }
   return { commands, undeliveredStarts, fenceToExceed };
