--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -33,7 +33,8 @@
   policy?: string;
 }
 
-const policyOf = async (o: Files): Promise<Policy> => (o.policy ? readPolicy(o.policy) : defaultPolicy);
+const loadPolicy = async (files: Files): Promise<Policy> =>
+  files.policy ? readPolicy(files.policy) : defaultPolicy;
 
 function fail(error: unknown): never {
   process.stderr.write(`quillhead: ${error instanceof Error ? error.message : String(error)}\n`);
@@ -47,7 +48,8 @@
     pino.destination({ dest: 2, sync: true }),
   );
   const generator = xoroshiro128plus(randomInt(0x7fffffff));
-  // Idle outgoing connections leave a fifth of the sockets to users, peers and new connections.
+  // Idle outgoing connections are kept only while a fifth of the sockets stays free for users, peers and new
+  // connections.
   let incoming = 0;
   const maxSockets = settings.cluster.machine_limits.sockets;
   const call = httpCall ?? createHttpCall((outgoing) => incoming + outgoing < maxSockets * 0.8);
@@ -58,7 +60,7 @@
       store: new StateServiceClient(call, settings.external.state),
       cloud: new CloudClient(call, settings.external.cloud),
       call,
-      random: { intBelow: (n) => uniformInt(generator, 0, n - 1) },
+      random: { intBelow: (limit) => uniformInt(generator, 0, limit - 1) },
       logger,
       settings,
       policy,
@@ -139,7 +141,7 @@
   .description('run one controller node')
   .requiredOption('--config <file>', "the platform's settings file (JSON)")
   .option('--policy <file>', "the operators' policy file (a CEL expression)")
-  .action(async (files: Files) => serve(loadSettings(files.config), await policyOf(files)));
+  .action(async (files: Files) => serve(loadSettings(files.config), await loadPolicy(files)));
 program
   .command('check')
   .description("check the platform's settings and the operators' policy")
@@ -149,7 +151,7 @@
     loadSettings(files.config);
     process.stdout.write('settings: ok\n');
     if (files.policy) {
-      await policyOf(files);
+      await loadPolicy(files);
       process.stdout.write('policy: ok\n');
     }
   });
--- a/src/cli/policy.ts
+++ b/src/cli/policy.ts
@@ -38,7 +38,7 @@
   job_checkpoint_s: 0,
 };
 
-/** What is used of an error of the CEL library. */
+/** The fields used of the CEL library's errors. */
 interface CelError {
   message: string;
   summary?: string;
@@ -75,10 +75,10 @@
     results.set(key, parsed.data);
     return parsed.data;
   };
-  // A wrong name or type of a setting shows with any values, so it is reported at the start.
+  // Evaluated once at the start: a wrong name or type of a setting is found whatever the variables are.
   evaluate(unset);
   evaluate({ ...unset, machine_spot: true });
-  const ofMachine = (machine: Parameters<Policy['idleTimeoutS']>[0]): Variables => ({
+  const variablesOfMachine = (machine: Parameters<Policy['idleTimeoutS']>[0]): Variables => ({
     ...unset,
     machine_type: machine.type?.name ?? '',
     machine_zone: machine.zone,
@@ -86,7 +86,7 @@
     machine_cpus: machine.type?.cpus ?? 0,
     machine_price: machine.type ? (machine.spot ? machine.type.spotPrice : machine.type.price) : 0,
   });
-  const ofJob = (spec: JobSpec): Variables => ({
+  const variablesOfJob = (spec: JobSpec): Variables => ({
     ...unset,
     job_class: spec.class,
     job_team: spec.team,
@@ -94,9 +94,10 @@
     job_checkpoint_s: spec.checkpoint,
   });
   return {
-    idleTimeoutS: (machine) => evaluate(ofMachine(machine)).idle_s ?? defaultPolicy.idleTimeoutS(machine),
-    rentSpot: (spec) => evaluate(ofJob(spec)).rent_spot ?? defaultPolicy.rentSpot(spec),
+    idleTimeoutS: (machine) =>
+      evaluate(variablesOfMachine(machine)).idle_s ?? defaultPolicy.idleTimeoutS(machine),
+    rentSpot: (spec) => evaluate(variablesOfJob(spec)).rent_spot ?? defaultPolicy.rentSpot(spec),
     silenceTimeoutS: (machine) =>
-      evaluate(ofMachine(machine)).silence_s ?? defaultPolicy.silenceTimeoutS(machine),
+      evaluate(variablesOfMachine(machine)).silence_s ?? defaultPolicy.silenceTimeoutS(machine),
   };
 }
--- a/src/cli/warm.ts
+++ b/src/cli/warm.ts
@@ -1,5 +1,5 @@
 /**
- * Run once by the build so that V8's code cache holds the compiled program: a controller takes the lead,
+ * Run once by the build so that V8's code cache holds the compiled program: a controller becomes leader,
  * rents machines, receives reports and runs a job, with every request answered inside the process. On a small
  * share of a core, the first call of a function that is not in the cache takes twice as long.
  */
@@ -47,7 +47,7 @@
   try: number;
 }
 
-/** A worker that finishes every task as soon as it is told to start it. */
+/** Simulates a worker that finishes each task as soon as it is started. */
 class StubWorker {
   private readonly reader = new ReportReader();
   private readonly tasks = new Map<string, object>();
--- a/src/io/clock.ts
+++ b/src/io/clock.ts
@@ -1,3 +1,4 @@
+/** Wall clock, steady clock and timers. */
 import type { SteadyMs, WallMs } from '../core/types.js';
 
 /** Cancels a timer; has no effect once it has fired. */
--- a/src/io/http-message.ts
+++ b/src/io/http-message.ts
@@ -7,6 +7,7 @@
 const HEAD_END = '\r\n\r\n';
 const MAX_HEAD_BYTES = 16 * 1024;
 
+/** The received bytes are not a valid HTTP message, so the connection can't be used any more. */
 export class MalformedMessageError extends Error {}
 
 /** Start line and those headers that the client or the server needs. */
--- a/src/wire/cloud.ts
+++ b/src/wire/cloud.ts
@@ -35,7 +35,7 @@
     }
   }
 
-  /** Rents up to `n` machines; a repeat under the same name rents none in addition. */
+  /** Rents up to `n` machines; repeating a request under the same name rents no further ones. */
   async rentMachines(rental: {
     name: string;
     type: string;
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -9,7 +9,7 @@
 export const RECORD_PREFIX = 'q/r/';
 /** Prefix of the chunks of snapshots. */
 export const CHUNK_PREFIX = 'q/s/';
-/** Under this prefix each node that workers reach claims so while it can't hear the leader. */
+/** Prefix of the claims of nodes that workers reach, but that can't hear the leader. */
 export const REACH_PREFIX = 'q/reach/';
 
 /** Zero-padded, so that keys sort by number. */
--- a/src/wire/schemas.ts
+++ b/src/wire/schemas.ts
@@ -1,7 +1,7 @@
 /**
  * Formats of the messages exchanged with users, workers, the cloud and the state service, and their
  * translation to the terms of the rest of the code: `write...` makes what is sent, `read...` validates what
- * was received.
+ * was received. The functions that read the cloud's answers throw if an answer is malformed.
  */
 import * as z from 'zod';
 import type {
@@ -85,7 +85,7 @@
 }
 
 export type JobStatus = 'queued' | 'running' | 'done' | 'cancelled';
-/** The answer to a user who asks for a job. */
+/** The answer to a user's request for one job: its state and, if given, the counts of its tasks. */
 export const writeJobStatus = (
   id: string,
   status: JobStatus,
@@ -97,9 +97,9 @@
 });
 
 /**
- * Fences that a leader can raise for one worker within its term. The fencing token, `warrant` in the
- * protocol, orders terms, and within a term these fences; a worker rejects what carries a lower token than it
- * has seen.
+ * Number of fences available to a leader for one worker within its term. The fencing token, `warrant` in the
+ * protocol, grows with the term and, within a term, with the fence; a worker rejects any message with a lower
+ * token than it has seen.
  */
 export const FENCES_PER_TERM = 2 ** 20;
 const fencingToken = (term: Term, fence: Fence): number => term * FENCES_PER_TERM + fence;
--- a/src/wire/settings.ts
+++ b/src/wire/settings.ts
@@ -61,7 +61,7 @@
   }),
 });
 
-/** In the settings a maximum of 0 means that there is none; a guaranteed amount of 0 is just that. */
+/** In the settings a maximum of 0 means that there is no limit; a guarantee of 0 guarantees nothing. */
 const limitOf = (maximum: number): number => (maximum === 0 ? Infinity : maximum);
 
 export const teamsOf = (settings: Settings): Team[] =>
