--- a/src/core/preemption.ts
+++ b/src/core/preemption.ts
@@ -65,6 +65,7 @@
     if (usage && (usage.cpus > team.cpus + RESOURCE_EPSILON || usage.gpus > team.gpus + RESOURCE_EPSILON))
       exceeds.add(team.name);
   }
+  /** Whether tasks of `other` may be stopped for the job. */
   const mayPreempt = (job: Job, guaranteed: boolean, other: Job): boolean => {
     const own = claimOrder.get(job);
     const its = claimOrder.get(other);
@@ -82,7 +83,7 @@
     ...sumOf(input.freeResources(machine), input.releasingResources(machine)),
   }));
   const running = input.claims.filter((claim) => claim.job.live.size > 0);
-  // Without preemption, only machines with releasing resources can have room that placement did not find.
+  // Without preemption, only machines with releasing resources can have places that placement did not find.
   const releasing = capacities.filter(
     (capacity) => input.releasingResources(capacity.machine).cpus > RESOURCE_EPSILON,
   );
@@ -105,7 +106,7 @@
       if (mayPreempt(job, unplaced.guaranteed, claim.job)) preemptible.add(claim.job);
     let zone = unplaced.zone;
     if (spec.oneZone) for (const attempt of job.live.values()) zone = attempt.machine.zone;
-    /** Tasks to stop on a machine for one more task of the job; null if stopping any can't free enough. */
+    /** Tasks to stop on a machine for one more task of the job; null if stopping all of them frees too little. */
     const planFor = (
       capacity: FutureCapacity,
     ): { capacity: FutureCapacity; victims: TaskAttempt[]; cost: number } | null => {
--- a/src/core/reserve.ts
+++ b/src/core/reserve.ts
@@ -47,21 +47,21 @@
   if (!spec.gang || summarize(released).taskCount === taskCount) return summarize(released);
   for (const allocation of released) addTo(allocation.candidate, spec, allocation.taskCount);
   // Free places per zone; a machine that can be drained counts as a small part of one.
-  const placesIn = new Map<string, number>();
+  const placesByZone = new Map<string, number>();
   for (const candidate of drainable)
-    placesIn.set(candidate.machine.zone, (placesIn.get(candidate.machine.zone) ?? 0) + 0.01);
+    placesByZone.set(candidate.machine.zone, (placesByZone.get(candidate.machine.zone) ?? 0) + 0.01);
   for (const candidate of feasible)
-    placesIn.set(
+    placesByZone.set(
       candidate.machine.zone,
-      (placesIn.get(candidate.machine.zone) ?? 0) + slotCount(candidate, spec),
+      (placesByZone.get(candidate.machine.zone) ?? 0) + slotCount(candidate, spec),
     );
   // The zone that could hold most of the gang comes first, then the one with the most free places. Reserving
   // or draining machines helps nobody in a zone that could not hold the gang even if all of them were empty.
-  const capacityOf = new Map(
-    [...placesIn.keys()].map((name) => [name, Math.min(taskCount, zoneCapacity(name))]),
+  const capacityByZone = new Map(
+    [...placesByZone.keys()].map((name) => [name, Math.min(taskCount, zoneCapacity(name))]),
   );
-  const zone = [...placesIn].sort(
-    (a, b) => capacityOf.get(b[0])! - capacityOf.get(a[0])! || b[1] - a[1],
+  const zone = [...placesByZone].sort(
+    (a, b) => capacityByZone.get(b[0])! - capacityByZone.get(a[0])! || b[1] - a[1],
   )[0]?.[0];
   const isInZone = (candidate: Candidate): boolean => !spec.oneZone || candidate.machine.zone === zone;
   const places = take(feasible.filter(isInZone), (candidate) => candidate);
--- a/src/core/state.ts
+++ b/src/core/state.ts
@@ -12,7 +12,7 @@
  */
 export class ClusterState {
   nextRecord = 1 as RecordNumber;
-  /** Workers' reports show the commands of all records up to this one to be carried out. */
+  /** The commands of all records up to this one were carried out, as workers' reports show. */
   processedUpTo = 0;
   jobs = new Map<JobId, Job>();
   outcomes = new Map<JobId, JobOutcome>();
@@ -149,7 +149,7 @@
       attempt.machine.changes++;
     }
     this.outcomes.set(id, { state: 'cancelled', done: job.done });
-    this.removeIfOver(job);
+    this.removeIfEnded(job);
   }
 
   private registerWorker(entry: Extract<LogEntry, { e: 'up' }>, at: WallMs): void {
@@ -278,10 +278,10 @@
     // Upholds not_done: a job is done only when the end of every task is in a record.
     if (!job.withdrawn && job.done >= job.spec.tasks && !this.outcomes.has(id))
       this.outcomes.set(id, { state: 'done', done: job.done });
-    this.removeIfOver(job);
+    this.removeIfEnded(job);
   }
 
-  private removeIfOver(job: Job): void {
+  private removeIfEnded(job: Job): void {
     if (this.outcomes.has(job.spec.id) && job.live.size === 0) this.jobs.delete(job.spec.id);
   }
 
--- a/src/io/peers.ts
+++ b/src/io/peers.ts
@@ -149,7 +149,7 @@
   };
 }
 
-/** Whether all numbers of a status are valid; a corrupt one must not prove or extend anything. */
+/** Whether all numbers of a status are valid: a corrupt one must not count as evidence of who leads. */
 export const isValidStatus = (status: PeerStatus): boolean =>
   [status.term, status.leaderTerm].every((term) => Number.isSafeInteger(term) && term >= 0) &&
   [status.remembersMs, status.stateAge, status.workers].every((amount) => amount >= 0 && amount < Infinity);
