--- a/src/cli/warm.ts
+++ b/src/cli/warm.ts
@@ -22,7 +22,7 @@
   ],
 };
 
-/** Stands for a state service and a cloud that accept every request. */
+/** Simulates a state service and a cloud that accept every request. */
 export const stubHttpCall: HttpCall = async (_address, method, path) => {
   if (path === '/flavors') return ok(machineTypes);
   if (path === '/hosts' && method === 'POST') return ok({ mounts: MACHINES });
--- a/src/wire/keys.ts
+++ b/src/wire/keys.ts
@@ -9,7 +9,7 @@
 export const RECORD_PREFIX = 'q/r/';
 /** Prefix of the chunks of snapshots. */
 export const CHUNK_PREFIX = 'q/s/';
-/** Prefix of the claims of nodes that workers reach, but that can't hear the leader. */
+/** Prefix of the claims of nodes that workers can reach while the nodes have no contact with the leader. */
 export const REACH_PREFIX = 'q/reach/';
 
 /** Zero-padded, so that keys sort by number. */
@@ -41,7 +41,7 @@
 export const readTermValue = (value: unknown): Term | null =>
   (termSchema.safeParse(value).data?.term as Term | undefined) ?? null;
 
-/** Claim of a node that workers reach it, while it can't hear the leader of this term. */
+/** Claim of a node that workers can reach it, while it has no contact with the leader of this term. */
 export interface ReachClaim {
   node: string;
   term: number;
