--- a/src/io/metrics.ts
+++ b/src/io/metrics.ts
@@ -2,8 +2,8 @@
 import { createHistogram, performance, type RecordableHistogram } from 'node:perf_hooks';
 
 /**
- * Records one duration. `round` is a scheduling round, `write` a log write, `fold` the writing of a snapshot,
- * `answer` a submission, `question` a status query, and `renewal` that of the leader's lock.
+ * Records one duration. `round` is a scheduling round, `write` a log write, `fold` the copying of the state for
+ * a snapshot, `answer` a submission, `question` a status query, and `renewal` that of the leader's lock.
  */
 export type Measure = (
   operation: 'round' | 'write' | 'fold' | 'take_over' | 'answer' | 'question' | 'renewal',
